--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{self, Reply, action, event};
 use magpiewell::policy::Policy;
-use magpiewell::{Arrival, Ending, Entry, OpId, Outbox, Phase, Role};
+use magpiewell::{Ending, HostEntry, HostState, OpId, OpRequest, Outbox, Role};
 use magpiewell_terms::settings::{self, Fields};
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -59,15 +59,15 @@
         self.reply.add(action::TOUCH, self.router, &[&self.door.address[host]]);
     }
 
-    fn close_idle(&mut self, host: usize) {
+    fn close_idle_connections(&mut self, host: usize) {
         self.reply.add(action::SHUT_IDLE, self.router, &[&self.door.address[host]]);
     }
 
-    fn follow_list(&mut self) {
+    fn watch_host_list(&mut self) {
         self.reply.add(action::KEEP_INFORMED, self.router, &[&[1]]);
     }
 
-    fn wake(&mut self, in_ms: f64) {
+    fn wake_after(&mut self, in_ms: f64) {
         let delay = (in_ms / 1000.0).to_le_bytes();
         self.reply.add(action::WAKE_AT, self.router, &[&delay, &[0; 8]]);
     }
@@ -141,7 +141,7 @@
                 let (op, send) = (wire::u64_at(record, 5), record[15] as usize);
                 let (how, over) = (ending(wire::u16_at(record, 13)), record[24] != 0);
                 let out = &mut Actions { router: self.router, door: &self.door, reply };
-                self.policy.ended(now, out, op, send, how, over);
+                self.policy.send_ended(now, out, op, send, how, over);
             }
             event::STATUS_BACK => {
                 let Some(host) = self.door.index.get(&wire::host_at(record, 5)).copied() else {
@@ -150,14 +150,14 @@
                 self.report(now, host, &record[21..38]);
                 let (how, spent) = (ending(wire::u16_at(record, 11)), wire::f64_at(record, 13) * 1000.0);
                 let out = &mut Actions { router: self.router, door: &self.door, reply };
-                self.policy.probed(now, out, host, how, spent);
+                self.policy.probe_ended(now, out, host, how, spent);
             }
             event::ABANDONED => {
                 let out = &mut Actions { router: self.router, door: &self.door, reply };
-                self.policy.left(now, out, &[wire::u64_at(record, 5)]);
+                self.policy.client_left(now, out, &[wire::u64_at(record, 5)]);
             }
             event::ELAPSED => {
-                self.policy.woken(now, &mut Actions { router: self.router, door: &self.door, reply });
+                self.policy.tick(now, &mut Actions { router: self.router, door: &self.door, reply });
             }
             // Nothing is streamed at the sites of this kind, and the module hears no peers.
             event::HEADERS | event::WHISPER => {}
@@ -169,22 +169,26 @@
         if how == 3 {
             return self.policy.list_failed(now);
         }
-        self.policy.list_start(how != 0, how == 2);
+        self.policy.list_started(how != 0, how == 2);
         for entry in page.chunks_exact(wire::ENTRY) {
             let host = self.door.enter(wire::host_at(entry, 0));
             let phase = match entry[16] {
-                0 => Phase::Ready,
-                1 => Phase::Draining,
-                _ => Phase::Gone,
+                0 => HostState::Ready,
+                1 => HostState::Draining,
+                _ => HostState::Gone,
             };
             let started = wire::f64_at(entry, 21) * 1000.0;
             let started = if started > 0.0 { started } else { f64::NEG_INFINITY };
             let (group, size) = (wire::u16_at(entry, 10) as usize, wire::f32_at(entry, 17) as f64);
             let primary = wire::f32_at(entry, 12) == 1.0;
             let zone = wire::u16_at(entry, 6) as usize;
-            self.policy.listed(now, host, Entry { group, phase, size, started, primary, zone });
+            self.policy.host_listed(
+                now,
+                host,
+                HostEntry { group, state: phase, capacity: size, started_at: started, primary, zone },
+            );
         }
-        self.policy.list_end(now, &mut Actions { router: self.router, door: &self.door, reply });
+        self.policy.list_ended(now, &mut Actions { router: self.router, door: &self.door, reply });
     }
 
     fn arrived(&mut self, now: f64, record: &[u8], reply: &mut Reply) {
@@ -198,17 +202,17 @@
         let since = self.fields.carried.then(|| wire::f32_at(record, 47) as f64);
         let group = wire::f32_at(record, 43).clamp(0.0, u16::MAX as f32) as usize;
         let longer = if work > 0.0 { self.fields.stretch[kind] * work } else { 0.0 };
-        let facts = Arrival {
+        let facts = OpRequest {
             id: op,
-            kind,
+            op_type: kind,
             group,
             tenant: wire::u32_at(record, 15) as usize,
             session: wire::u64_at(record, 19),
-            patience: wire::f64_at(record, 27) * 1000.0,
-            since_write: since,
-            repeat: self.fields.marks_repeats.then_some(attrs & 2 != 0),
-            longer,
-            op_timeout: timeout,
+            client_timeout_ms: wire::f64_at(record, 27) * 1000.0,
+            since_write_ms: since,
+            is_retry: self.fields.marks_repeats.then_some(attrs & 2 != 0),
+            extra_latency_ms: longer,
+            op_timeout_ms: timeout,
         };
         self.policy.op_arrived(now, out, facts);
     }
@@ -222,7 +226,7 @@
         };
         let pos = (stamp / 4 > 0).then_some(self.fields.origin_ms + (stamp / 4) as f64);
         if role.is_some() || pos.is_some() {
-            self.policy.told(now, host, role, pos, true);
+            self.policy.host_reported(now, host, role, pos, true);
         }
     }
 
@@ -237,7 +241,7 @@
         let role = value(self.fields.report_role);
         let role = role.map(|x| if x >= 0.5 { Role::Primary } else { Role::Replica });
         if role.is_some() || pos.is_some() {
-            self.policy.told(now, host, role, pos, false);
+            self.policy.host_reported(now, host, role, pos, false);
         }
     }
 }
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -3,7 +3,7 @@
 use crate::event::Event;
 use crate::shared::Shared;
 use crossbeam_channel::{Receiver, Sender};
-use magpiewell::{Entry, Phase};
+use magpiewell::{HostEntry, HostState};
 use serde_json::Value;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -18,7 +18,7 @@
 pub fn entries(
     page: &Value,
     zones: &[String],
-    mut take: impl FnMut(&str, SocketAddr, u64, Entry),
+    mut take: impl FnMut(&str, SocketAddr, u64, HostEntry),
 ) -> Result<(), String> {
     let hosts = page.get("servers").and_then(Value::as_array).ok_or("the list lacks 'servers'")?;
     for host in hosts {
@@ -28,9 +28,9 @@
         let addr = key("addr")?.as_str().and_then(|a| a.parse().ok()).ok_or_else(|| wrong("addr"))?;
         let group = host.get("cell").map_or(Some(0), Value::as_u64).ok_or_else(|| wrong("cell"))?;
         let phase = match key("state")?.as_str() {
-            Some("Ready") => Phase::Ready,
-            Some("Terminating") => Phase::Draining,
-            Some("Gone") => Phase::Gone,
+            Some("Ready") => HostState::Ready,
+            Some("Terminating") => HostState::Draining,
+            Some("Gone") => HostState::Gone,
             _ => return Err(wrong("state")),
         };
         let size = host.get("weight").and_then(Value::as_f64).unwrap_or(1.0);
@@ -40,7 +40,12 @@
         let started = started.unwrap_or(f64::NEG_INFINITY);
         let zone = host.get("zone").and_then(Value::as_str);
         let zone = zone.and_then(|name| zones.iter().position(|z| z == name)).unwrap_or(usize::MAX);
-        take(id, addr, group, Entry { group: 0, phase, size, started, primary, zone });
+        take(
+            id,
+            addr,
+            group,
+            HostEntry { group: 0, state: phase, capacity: size, started_at: started, primary, zone },
+        );
     }
     Ok(())
 }
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -15,7 +15,7 @@
 use crate::tier::ObservationSender;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use magpiewell::policy::Policy;
-use magpiewell::{Arrival, Ending, Level, OpId, Outbox, PeerFact, Terms};
+use magpiewell::{Consistency, Ending, OpId, OpRequest, Outbox, PeerReport, PolicyOptions};
 use magpiewell_facts::Observation;
 use magpiewell_pg::say;
 use magpiewell_terms::settings::Fields;
@@ -135,7 +135,7 @@
         }
     }
 
-    fn call_off(&mut self, host: usize) {
+    fn cancel_unstarted(&mut self, host: usize) {
         for (op, send) in self.pool.call_off(host) {
             if let Some(o) = self.ops.get_mut(&op) {
                 o.sends[send].conn = None;
@@ -165,15 +165,15 @@
         self.probe_on(host, now);
     }
 
-    fn close_idle(&mut self, host: usize) {
+    fn close_idle_connections(&mut self, host: usize) {
         self.pool.close_idle(host);
     }
 
-    fn follow_list(&mut self) {
+    fn watch_host_list(&mut self) {
         let _ = self.ask_list.try_send(());
     }
 
-    fn wake(&mut self, in_ms: f64) {
+    fn wake_after(&mut self, in_ms: f64) {
         self.wake_at = self.shared.clock.now() + in_ms;
     }
 
@@ -181,7 +181,7 @@
         tracing::info!("{line}");
     }
 
-    fn lost(&mut self, host: usize) {
+    fn contact_lost(&mut self, host: usize) {
         self.lost.push(host);
     }
 }
@@ -208,7 +208,7 @@
 impl Router {
     pub fn new(
         shared: Arc<Shared>,
-        terms: Terms,
+        terms: PolicyOptions,
         fields: &Fields,
         seed: u64,
         ask_list: Sender<()>,
@@ -229,7 +229,11 @@
             counts: Counts::default(),
             lost: Vec::new(),
         };
-        let bounded = terms.op_types.iter().filter(|t| t.level == Level::Bounded).map(|t| t.bound_ms);
+        let bounded = terms
+            .op_types
+            .iter()
+            .filter(|t| t.consistency == Consistency::Bounded)
+            .map(|t| t.staleness_bound_ms);
         let observer = Observer::new(bounded.reduce(f64::min));
         let policy = Policy::new(terms, seed, now, &mut outbox);
         let (timeouts_ms, zones) = (fields.timeout_ms.clone(), fields.zone_names.clone());
@@ -255,18 +259,18 @@
     pub fn list(&mut self, page: &Value, kept: bool) {
         let now = self.outbox.shared.clock.now();
         let (policy, pool) = (&mut self.policy, &mut self.outbox.pool);
-        policy.list_start(kept || list::is_whole(page), kept);
+        policy.list_started(kept || list::is_whole(page), kept);
         let (zones, groups) = (&self.zones, &mut self.groups);
         let read = list::entries(page, zones, |id, addr, cluster, mut entry| {
             entry.group = pool.group(cluster);
             let host = pool.host(id, addr);
             groups.insert(host, GroupId { index: entry.group, key: cluster as u32 });
-            policy.listed(now, host, entry);
+            policy.host_listed(now, host, entry);
         });
         if let Err(why) = read {
             tracing::warn!(%why, "a page of the list is odd");
         }
-        self.policy.list_end(now, &mut self.outbox);
+        self.policy.list_ended(now, &mut self.outbox);
         self.warn_of_too_many_hosts();
         self.outbox.shared.ready.store(true, Release);
         self.settle();
@@ -307,15 +311,15 @@
             if now >= self.outbox.next_beat() {
                 self.take_news(news);
                 if self.outbox.shared.is_stopping() {
-                    self.policy.ends_by(self.outbox.shared.stop_by());
+                    self.policy.set_shutdown_deadline(self.outbox.shared.stop_by());
                 }
-                self.policy.woken(now, &mut self.outbox);
+                self.policy.tick(now, &mut self.outbox);
                 self.settle();
                 if now >= self.tidy_at {
                     self.tidy_at = now + self.outbox.shared.limits.tidy_ms;
                     let (policy, observer, groups) = (&mut self.policy, &mut self.observer, &mut self.groups);
                     self.outbox.pool.tidy(|host| {
-                        let over = policy.forget(now, host);
+                        let over = policy.release_host(now, host);
                         if over {
                             observer.forget(host);
                             groups.remove(&host);
@@ -403,7 +407,7 @@
                     self.outbox.open.remove(&op.name);
                 }
                 self.outbox.counts.left += gone.len() as u64;
-                self.policy.left(now, &mut self.outbox, &gone);
+                self.policy.client_left(now, &mut self.outbox, &gone);
                 gone.into_iter().for_each(|id| self.outbox.drop_if_over(id));
             }
             Event::Ended { conn, result } => self.back(now, conn, *result),
@@ -412,7 +416,7 @@
                 Some((host, Task::Probe { since })) => self.outbox.probe_on(host, since),
                 _ => {}
             },
-            Event::Carries { share, come_back } => self.policy.carries(share, come_back),
+            Event::Carries { share, come_back } => self.policy.set_admission(share, come_back),
             Event::PeerFacts(peer_facts) => self.peer_facts(now, peer_facts),
             Event::News | Event::Stop => {}
         }
@@ -424,20 +428,20 @@
         for peer_fact in peer_facts {
             let (key, peer_fact) = match peer_fact {
                 magpiewell_tier::PeerFact::Primary { host, observed_at: at, .. } => {
-                    (host, PeerFact::Leads { at })
+                    (host, PeerReport::Primary { at })
                 }
                 magpiewell_tier::PeerFact::ReplicaLag { host, ms, observed_at: at } => {
-                    (host, PeerFact::Behind { ms, at })
+                    (host, PeerReport::ReplicaLag { lag_ms: ms, at })
                 }
-                magpiewell_tier::PeerFact::Unresponsive { host } => (host, PeerFact::Silent),
+                magpiewell_tier::PeerFact::Unresponsive { host } => (host, PeerReport::Unresponsive),
                 magpiewell_tier::PeerFact::Members { zones, .. } if zones.len() == self.zones.len() => {
-                    self.policy.brings = zones;
+                    self.policy.zone_read_shares = zones;
                     continue;
                 }
                 _ => continue,
             };
             if let Some(host) = self.outbox.pool.keyed(key) {
-                self.policy.peer_fact(now, &mut self.outbox, host, peer_fact);
+                self.policy.peer_reported(now, &mut self.outbox, host, peer_fact);
             }
         }
     }
@@ -456,17 +460,17 @@
         // The commit stands there as a time, and the policy takes how long ago that was.
         let age = |after: f64| (now - after).max(0.001);
         let since = self.carried.then(|| facts.after.map_or(0.0, age));
-        let op = Arrival {
+        let op = OpRequest {
             id,
-            kind: facts.kind,
+            op_type: facts.kind,
             group,
             tenant: facts.tenant,
             session: facts.session,
-            patience,
-            since_write: since,
-            repeat: facts.repeat,
-            longer: 0.0,
-            op_timeout: self.timeouts_ms[facts.kind],
+            client_timeout_ms: patience,
+            since_write_ms: since,
+            is_retry: facts.repeat,
+            extra_latency_ms: 0.0,
+            op_timeout_ms: self.timeouts_ms[facts.kind],
         };
         self.policy.op_arrived(now, &mut self.outbox, op);
     }
@@ -488,7 +492,7 @@
                 self.tell_ended(now, op, send, result.ending);
             }
             Task::Probe { since } => {
-                self.policy.probed(now, &mut self.outbox, host, result.ending, now - since);
+                self.policy.probe_ended(now, &mut self.outbox, host, result.ending, now - since);
             }
             Task::Nothing => {}
         }
@@ -499,16 +503,16 @@
         let ahead = told.pos.filter(|pos| *pos < now + self.outbox.shared.limits.ahead_ms);
         let now = ahead.map_or(now, |pos| now.max(pos));
         if told.role.is_some() || told.pos.is_some() {
-            self.policy.told(now, host, told.role, told.pos, true);
+            self.policy.host_reported(now, host, told.role, told.pos, true);
         }
         if told.report_role.is_some() || told.report_pos.is_some() {
-            self.policy.told(now, host, told.report_role, told.report_pos, false);
+            self.policy.host_reported(now, host, told.report_role, told.report_pos, false);
         }
     }
 
     fn tell_ended(&mut self, now: f64, op: OpId, send: usize, ending: Ending) {
         let over = self.outbox.ops.get(&op).is_none_or(|o| o.answered);
-        self.policy.ended(now, &mut self.outbox, op, send, ending, over);
+        self.policy.send_ended(now, &mut self.outbox, op, send, ending, over);
         self.outbox.drop_if_over(op);
     }
 
@@ -524,7 +528,7 @@
             if let Some((op, send, ending)) = self.outbox.ended.pop_front() {
                 self.tell_ended(now, op, send, ending);
             } else if let Some(host) = self.outbox.unasked.pop_front() {
-                self.policy.probed(now, &mut self.outbox, host, Ending::Unsent, 0.0);
+                self.policy.probe_ended(now, &mut self.outbox, host, Ending::Unsent, 0.0);
             } else {
                 return;
             }
--- a/crates/terms/src/settings.rs
+++ b/crates/terms/src/settings.rs
@@ -1,7 +1,7 @@
 //! Reads the settings that tell what a deployment allows and asks.
 
 use crate::{at, in_ms, may, may_ms, ms, need};
-use magpiewell::{Level, OpTypeFacts, Repeat, Terms};
+use magpiewell::{Consistency, OpTypeSpec, PolicyOptions, Retryability};
 use serde_json::Value;
 
 /// What is needed at the door, beside the module's own terms.
@@ -30,32 +30,32 @@
     pub dial_ms: f64,
 }
 
-fn op_type(class: &Value, level: &Value, bound: f64) -> Result<(OpTypeFacts, f64, f64), String> {
+fn op_type(class: &Value, level: &Value, bound: f64) -> Result<(OpTypeSpec, f64, f64), String> {
     let name = |e: String| e.replace("settings", "settings of an op type");
     let level = match level.as_str() {
-        Some("write") => Level::Write,
-        Some("fresh") => Level::Fresh,
-        Some("session") => Level::Session,
-        Some("bounded") => Level::Bounded,
-        Some("any") => Level::Any,
+        Some("write") => Consistency::Write,
+        Some("fresh") => Consistency::Fresh,
+        Some("session") => Consistency::Session,
+        Some("bounded") => Consistency::Bounded,
+        Some("any") => Consistency::Any,
         _ => return Err("settings key 'extra.read_level' has an unknown level".into()),
     };
     let repeat = match need(class, "effect", Value::as_str).map_err(name)? {
-        "free" => Repeat::Retryable,
-        "guarded" => Repeat::Tokened {
+        "free" => Retryability::Retryable,
+        "guarded" => Retryability::Tokened {
             window_ms: ms(class, "window_s").map_err(name)?,
             anywhere: may(class, "group", Value::as_str, "cell").map_err(name)? == "all",
         },
-        "single_shot" => Repeat::NonRetryable,
+        "single_shot" => Retryability::NonRetryable,
         other => return Err(format!("settings key 'effect' says '{other}'")),
     };
     // Where no bound applies, what stands there says nothing.
-    let bound_ms = if level == Level::Bounded { in_ms("extra.staleness_bound_s", bound)? } else { 0.0 };
-    let facts = OpTypeFacts {
-        level,
-        repeat,
-        bound_ms,
-        target_ms: ms(class, "goal_time_s").map_err(name)?,
+    let bound_ms = if level == Consistency::Bounded { in_ms("extra.staleness_bound_s", bound)? } else { 0.0 };
+    let facts = OpTypeSpec {
+        consistency: level,
+        retryability: repeat,
+        staleness_bound_ms: bound_ms,
+        latency_target_ms: ms(class, "goal_time_s").map_err(name)?,
         value: need(class, "value", Value::as_f64).map_err(name)?,
         late_value: may(class, "late_worth", Value::as_f64, 0.0).map_err(name)?,
     };
@@ -64,13 +64,13 @@
 }
 
 /// Reads them from text.
-pub fn read(text: &[u8]) -> Result<(Terms, Fields), String> {
+pub fn read(text: &[u8]) -> Result<(PolicyOptions, Fields), String> {
     let root: Value = serde_json::from_slice(text).map_err(|e| format!("settings are not JSON: {e}"))?;
     read_keys(&root)
 }
 
 /// Reads them where they stand inside something larger.
-pub fn read_keys(root: &Value) -> Result<(Terms, Fields), String> {
+pub fn read_keys(root: &Value) -> Result<(PolicyOptions, Fields), String> {
     let classes = need(root, "classes", Value::as_array)?;
     let levels = need(root, "extra.read_level", Value::as_array)?;
     let bounds = need(root, "extra.staleness_bound_s", Value::as_array)?;
@@ -102,38 +102,38 @@
     let zone = may(root, "az", Value::as_u64, u64::MAX)?;
     let asks = need(root, "discovery", Value::as_str)? == "subscribe";
     let retry_after = may(root, "limits.retry_after", Value::as_bool, false)?;
-    let terms = Terms {
+    let terms = PolicyOptions {
         routers: need(root, "balancers", Value::as_f64)?.max(1.0),
-        zones: zone_names.len().max(1),
+        zone_count: zone_names.len().max(1),
         zone: usize::try_from(zone).unwrap_or(usize::MAX),
         tick_ms: ms(root, "tick_s")?,
         op_types,
         tenant_rates,
         over_share_value: may(root, "over_share_worth", Value::as_f64, 1.0)?,
         max_sends: need(root, "limits.max_attempts", Value::as_u64)? as usize,
-        second_copies: may(root, "limits.second_copies", Value::as_bool, false)?,
+        may_hedge: may(root, "limits.second_copies", Value::as_bool, false)?,
         may_withdraw: may(root, "limits.may_cancel", Value::as_bool, false)?,
         may_probe: may(root, "limits.probes", Value::as_bool, false)?,
         probe_price: may(root, "charges.probe", Value::as_f64, 0.0)?,
-        dial_price: may(root, "charges.handshake", Value::as_f64, 0.0)?,
-        crossing_price: may(root, "charges.cross_zone", Value::as_f64, 0.0)?,
-        max_retry_ms: if retry_after { ms(root, "limits.max_retry_after_s")? } else { 0.0 },
+        connection_price: may(root, "charges.handshake", Value::as_f64, 0.0)?,
+        cross_zone_price: may(root, "charges.cross_zone", Value::as_f64, 0.0)?,
+        max_retry_after_ms: if retry_after { ms(root, "limits.max_retry_after_s")? } else { 0.0 },
         drain_grace_ms: ms(root, "rules.drain_grace_s")?,
-        gone_binds: !may(root, "rules.dropped_stay_open", Value::as_bool, false)?,
-        ask_every_ms: if asks { Some(ms(root, "rules.ask_every_s")?) } else { None },
-        cold_share: need(root, "rules.cold_from", Value::as_f64)?,
-        cold_ms: ms(root, "rules.cold_s")?,
-        fall_multiple: need(root, "rules.fall_multiple", Value::as_f64)?,
-        fall_ms: ms(root, "rules.fall_s")?,
-        hosts_check_reads: need(root, "extra.behind", Value::as_str)? != "off",
-        remember_writes: may(root, "extra.write_marks", Value::as_str, "remembered")? == "remembered",
+        gone_is_binding: !may(root, "rules.dropped_stay_open", Value::as_bool, false)?,
+        list_poll_interval_ms: if asks { Some(ms(root, "rules.ask_every_s")?) } else { None },
+        cold_capacity_share: need(root, "rules.cold_from", Value::as_f64)?,
+        warmup_ms: ms(root, "rules.cold_s")?,
+        overload_multiple: need(root, "rules.fall_multiple", Value::as_f64)?,
+        overload_window_ms: ms(root, "rules.fall_s")?,
+        hosts_reject_stale_reads: need(root, "extra.behind", Value::as_str)? != "off",
+        track_session_writes: may(root, "extra.write_marks", Value::as_str, "remembered")? == "remembered",
     };
     let place = |name: &str| -> Option<usize> {
         at(root, "report.fields")?.as_array()?.iter().position(|field| field.as_str() == Some(name))
     };
     let fields = Fields {
         origin_ms: may(root, "extra.origin_time_s", Value::as_f64, 0.0)? * 1000.0,
-        carried: !terms.remember_writes,
+        carried: !terms.track_session_writes,
         marks_repeats: may(root, "clients.marks_retry", Value::as_bool, false)?,
         report_pos: place("x0"),
         report_role: place("x1"),
@@ -142,9 +142,17 @@
         timeout_ms,
         type_names,
         tenant_names,
-        sessions: terms.op_types.iter().map(|t| matches!(t.level, Level::Write | Level::Session)).collect(),
-        writes: terms.op_types.iter().map(|t| t.level == Level::Write).collect(),
-        tokened: terms.op_types.iter().map(|t| matches!(t.repeat, Repeat::Tokened { .. })).collect(),
+        sessions: terms
+            .op_types
+            .iter()
+            .map(|t| matches!(t.consistency, Consistency::Write | Consistency::Session))
+            .collect(),
+        writes: terms.op_types.iter().map(|t| t.consistency == Consistency::Write).collect(),
+        tokened: terms
+            .op_types
+            .iter()
+            .map(|t| matches!(t.retryability, Retryability::Tokened { .. }))
+            .collect(),
         conn_idle_ms: may_ms(root, "limits.conn_idle_s", 30.0)?,
         dial_ms: may_ms(root, "limits.dial_timeout_s", 1.0)?,
     };
--- a/crates/terms/src/start.rs
+++ b/crates/terms/src/start.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::{self, Fields};
 use crate::{at, may, need};
-use magpiewell::Terms;
+use magpiewell::PolicyOptions;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
     pub known: Option<Value>,
     /// What it needs to hear its peers; a fault in it matters to those alone who would.
     pub roster: Result<Option<Roster>, String>,
-    pub terms: Terms,
+    pub terms: PolicyOptions,
     pub fields: Fields,
 }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -21,10 +21,13 @@
 //!    it is; where the part of one router is under an op, chance lets through what all together may send
 
 use crate::state::{
-    self, Again, Asked, Back, Chance, Commits, Fixed, Group, Host, Op, OpType, Ops, Out, Rate, Returns, Send,
+    self, Again, Asked, Back, Commits, Fixed, Group, Host, Op, OpType, Ops, Out, Random, Rate, Returns, Send,
     Share, Step, Turn, blend, median,
 };
-use crate::{Arrival, Ending, Entry, Level, OpId, OpTypeFacts, Outbox, PeerFact, Phase, Repeat, Role, Terms};
+use crate::{
+    Consistency, Ending, HostEntry, HostState, OpId, OpRequest, OpTypeSpec, Outbox, PeerReport,
+    PolicyOptions, Retryability, Role,
+};
 
 /// Outlier factor of the design.
 const RHO: f64 = 2.0;
@@ -112,7 +115,7 @@
 pub struct Policy {
     /// What was derived from the terms at start, and the part of reads that each zone's routers bring.
     fixed: Fixed,
-    pub brings: Vec<f64>,
+    pub zone_read_shares: Vec<f64>,
     types: Vec<OpType>,
     shares: Vec<Share>,
     hosts: Vec<Host>,
@@ -126,7 +129,7 @@
     ops: Ops,
     commits: Commits,
     returns: Returns,
-    chance: Chance,
+    chance: Random,
     /// The clock as last told, and until when connections are taken to be slow to open or few.
     now: f64,
     dear_until: f64,
@@ -146,57 +149,62 @@
 }
 
 impl Policy {
-    pub fn new(terms: Terms, seed: u64, now: f64, out: &mut dyn Outbox) -> Policy {
+    pub fn new(terms: PolicyOptions, seed: u64, now: f64, out: &mut dyn Outbox) -> Policy {
         let beat = terms.tick_ms.max(5.0);
         let share = |rate: &f64| Share { per_ms: rate / terms.routers / 1000.0, left: 1.0, at: now };
         let shares = terms.tenant_rates.iter().map(share).collect();
-        let typed = |facts: OpTypeFacts| OpType::new(facts.target_ms * USUAL_PART, now, facts);
-        let bounded = |t: &&OpTypeFacts| t.level == Level::Bounded;
+        let typed = |facts: OpTypeSpec| OpType::new(facts.latency_target_ms * USUAL_PART, now, facts);
+        let bounded = |t: &&OpTypeSpec| t.consistency == Consistency::Bounded;
         let fixed = Fixed {
             beat,
             margin: 2.0 * beat,
-            subset: if terms.dial_price > terms.crossing_price { FEW } else { usize::MAX },
-            tries: terms.hosts_check_reads && terms.probe_price > terms.crossing_price,
-            cold_multiple: terms.fall_multiple * COLD_PART,
-            cold_fair: terms.fall_multiple * COLD_FAIR,
+            subset: if terms.connection_price > terms.cross_zone_price { FEW } else { usize::MAX },
+            tries: terms.hosts_reject_stale_reads && terms.probe_price > terms.cross_zone_price,
+            cold_multiple: terms.overload_multiple * COLD_PART,
+            cold_fair: terms.overload_multiple * COLD_FAIR,
             full_per_ms: terms.tenant_rates.iter().sum::<f64>() / terms.routers / 1000.0,
             limit: (LIMIT_START / terms.routers).max(LIMIT_LEAST),
-            tightest: terms.op_types.iter().filter(bounded).map(|t| t.bound_ms).fold(f64::INFINITY, f64::min),
+            tightest: terms
+                .op_types
+                .iter()
+                .filter(bounded)
+                .map(|t| t.staleness_bound_ms)
+                .fold(f64::INFINITY, f64::min),
             ..Fixed::from(&terms)
         };
         let brings = vec![1.0 / fixed.zones.max(1) as f64; fixed.zones.max(1)];
-        let (types, chance) = (terms.op_types.into_iter().map(typed).collect(), Chance { seed, count: 0 });
+        let (types, chance) = (terms.op_types.into_iter().map(typed).collect(), Random { seed, count: 0 });
         let start = Policy { rates_at: now, ask_at: f64::INFINITY, spill: SPILL_START, ..Policy::default() };
         let start = Policy { carried: (1.0, 0.0), cold: [fixed.cold_fair; 2], wide: 1.0, ..start };
-        let mut policy = Policy { fixed, types, shares, chance, brings, ..start };
+        let mut policy = Policy { fixed, types, shares, chance, zone_read_shares: brings, ..start };
         policy.ask_list(now, out);
-        out.wake(policy.fixed.beat);
+        out.wake_after(policy.fixed.beat);
         policy
     }
 
     /// The share of new ops that the router's own time carries, and in about how many ms the others may come back.
-    pub fn carries(&mut self, share: f64, come_back: f64) {
+    pub fn set_admission(&mut self, share: f64, come_back: f64) {
         self.carried = (share, come_back);
     }
 
     fn ask_list(&mut self, now: f64, out: &mut dyn Outbox) {
         if let Some(every) = self.fixed.ask_every {
-            out.follow_list();
+            out.watch_host_list();
             self.ask_at = now + every * 0.5;
         }
     }
 
     /// A list begins: whole or changes, as kept or from the service; `listed` calls follow, then `list_end`.
-    pub fn list_start(&mut self, whole: bool, kept: bool) {
+    pub fn list_started(&mut self, whole: bool, kept: bool) {
         self.ask_at = if kept { self.ask_at } else { f64::INFINITY };
         (self.list_full, self.list_no) = (whole, self.list_no + 1);
     }
 
-    pub fn listed(&mut self, now: f64, host: usize, entry: Entry) {
-        let Entry { group, phase, size, started, primary, zone } = entry;
+    pub fn host_listed(&mut self, now: f64, host: usize, entry: HostEntry) {
+        let HostEntry { group, state: phase, capacity: size, started_at: started, primary, zone } = entry;
         while self.hosts.len() <= host {
             // By chance, or all routers that start together begin with the same replica and move on together.
-            let turn = self.chance.draw() / if size > 0.0 { size } else { 1.0 };
+            let turn = self.chance.next_f64() / if size > 0.0 { size } else { 1.0 };
             self.hosts.push(Host { turn, ..Host::new(usize::MAX, self.fixed.limit) });
         }
         state::enroll(&mut self.groups, &mut self.hosts[host], host, group);
@@ -205,31 +213,31 @@
         h.size = if size.is_finite() && size > 0.0 { size } else { h.size };
         h.note_start(started, self.fixed.limit);
         // Where gone alone does not bind, it proves nothing either: contact tells what is up.
-        let alive = phase == Phase::Gone && !self.fixed.gone_binds && !h.drained;
-        let phase = if alive { Phase::Ready } else { phase };
-        h.told_at = if phase == Phase::Ready { f64::INFINITY } else { h.told_at.min(now) };
+        let alive = phase == HostState::Gone && !self.fixed.gone_binds && !h.drained;
+        let phase = if alive { HostState::Ready } else { phase };
+        h.told_at = if phase == HostState::Ready { f64::INFINITY } else { h.told_at.min(now) };
         h.phase = phase;
-        h.drained = phase == Phase::Draining || (h.drained && phase == Phase::Gone);
+        h.drained = phase == HostState::Draining || (h.drained && phase == HostState::Gone);
         h.listed_primary = primary;
         h.excused |= primary && h.replica_at == f64::NEG_INFINITY;
     }
 
-    pub fn list_end(&mut self, now: f64, out: &mut dyn Outbox) {
+    pub fn list_ended(&mut self, now: f64, out: &mut dyn Outbox) {
         self.stirred = true;
         let missing = |h: &&mut Host| self.list_full && h.list_no != self.list_no;
         for h in self.hosts.iter_mut().filter(missing).filter(|h| self.fixed.gone_binds || h.drained) {
-            (h.phase, h.told_at) = (Phase::Gone, h.told_at.min(now));
+            (h.phase, h.told_at) = (HostState::Gone, h.told_at.min(now));
         }
         // A connection may open only after the grace.
-        let leaving = |m: &usize| self.hosts[*m].phase != Phase::Ready && !self.hosts[*m].out.is_empty();
-        (0..self.hosts.len()).filter(leaving).for_each(|m| out.call_off(m));
+        let leaving = |m: &usize| self.hosts[*m].phase != HostState::Ready && !self.hosts[*m].out.is_empty();
+        (0..self.hosts.len()).filter(leaving).for_each(|m| out.cancel_unstarted(m));
         for group in 0..self.groups.len() {
             self.again(now, out, group, false);
         }
     }
 
     /// True where a host has long been gone and nothing names it: its number may then be given to another.
-    pub fn forget(&mut self, now: f64, host: usize) -> bool {
+    pub fn release_host(&mut self, now: f64, host: usize) -> bool {
         let (h, limit) = (&self.hosts[host], self.fixed.limit);
         let over = now - h.told_at > MEMORY && state::is_over(&self.ops, h, host);
         over && state::forget(&mut self.groups, &mut self.hosts, host, limit)
@@ -237,11 +245,18 @@
 
     /// A call failed or the watch broke, which one is not said: ask again soon, not all routers at once.
     pub fn list_failed(&mut self, now: f64) {
-        self.ask_at = now + SECOND * (0.5 + self.chance.draw());
+        self.ask_at = now + SECOND * (0.5 + self.chance.next_f64());
     }
 
     /// A host's role and position, from an answer (as of now) or from a report (some time old).
-    pub fn told(&mut self, now: f64, host: usize, role: Option<Role>, pos: Option<f64>, answer: bool) {
+    pub fn host_reported(
+        &mut self,
+        now: f64,
+        host: usize,
+        role: Option<Role>,
+        pos: Option<f64>,
+        answer: bool,
+    ) {
         let Some(h) = self.hosts.get_mut(host) else { return };
         let pos = pos.filter(|p| p.is_finite() && *p <= now);
         if let Some(p) = pos.filter(|p| *p >= h.pos) {
@@ -259,7 +274,7 @@
         }
     }
 
-    pub fn probed(&mut self, now: f64, out: &mut dyn Outbox, host: usize, ending: Ending, spent: f64) {
+    pub fn probe_ended(&mut self, now: f64, out: &mut dyn Outbox, host: usize, ending: Ending, spent: f64) {
         let Some(h) = self.hosts.get_mut(host) else { return };
         (h.probe_out, self.stirred) = (false, true);
         let group = h.group;
@@ -277,7 +292,7 @@
         } else if ending == Ending::Reset && !h.reset.within(now, PROBE_MS) {
             // Its connection may have been closed as an op's was; a host that is down refuses the next one.
             self.probe(now, out, host);
-        } else if ending.unanswered() && h.heard < now - spent {
+        } else if ending.is_contact_failure() && h.heard < now - spent {
             h.doubt = 0.0;
             self.lost_contact(now, out, host, "probe unanswered");
         }
@@ -285,7 +300,7 @@
     }
 
     /// What other routers say: a direction, a probe spared, or a reason to look; never that a host is fresh or well.
-    pub fn peer_fact(&mut self, now: f64, out: &mut dyn Outbox, host: usize, peer_fact: PeerFact) {
+    pub fn peer_reported(&mut self, now: f64, out: &mut dyn Outbox, host: usize, peer_fact: PeerReport) {
         let (checked, h) = (self.fixed.checked, &mut self.hosts[host]);
         if h.note_peer_fact(now, peer_fact, checked) && h.heard < now - PROBE_MS && self.may_ask(now, host) {
             self.probe(now, out, host);
@@ -310,17 +325,27 @@
         h.down_since = h.down_since.min(now);
         if !std::mem::replace(&mut h.silent, true) {
             out.log(&format!("host {host} set aside: {why}, {} out", h.out.len()));
-            out.lost(host);
+            out.contact_lost(host);
         }
     }
 
-    pub fn op_arrived(&mut self, now: f64, out: &mut dyn Outbox, op: Arrival) {
-        let Arrival { id, kind, group, tenant, session, patience, since_write, repeat, longer, op_timeout } =
-            op;
+    pub fn op_arrived(&mut self, now: f64, out: &mut dyn Outbox, op: OpRequest) {
+        let OpRequest {
+            id,
+            op_type: kind,
+            group,
+            tenant,
+            session,
+            client_timeout_ms: patience,
+            since_write_ms: since_write,
+            is_retry: repeat,
+            extra_latency_ms: longer,
+            op_timeout_ms: op_timeout,
+        } = op;
         state::enter(&mut self.groups, group);
         let over_share = self.shares.get_mut(tenant).is_some_and(|s| s.is_over(now));
         let t = &mut self.types[kind];
-        let patience = if patience.is_finite() { patience.max(0.0) } else { t.facts.target_ms };
+        let patience = if patience.is_finite() { patience.max(0.0) } else { t.facts.latency_target_ms };
         // First tries have one patience, the commonest; another is what the op timeout leaves of a last try
         // and dates its first: past that one's target it is not worth sending. Where clients mark no repeats,
         // only as many ops are dated as were given up lately: clients that just lost patience are served.
@@ -338,9 +363,9 @@
         let undated = if repeat == Some(true) { t.reply_age } else { 0.0 };
         let age = if dated { (op_timeout - patience).max(0.0) } else { undated };
         let age = back.map_or(age, |begun| now - begun);
-        let need_pos = match t.facts.level {
-            Level::Fresh => now,
-            Level::Session => {
+        let need_pos = match t.facts.consistency {
+            Consistency::Fresh => now,
+            Consistency::Session => {
                 // The commit was rounded up and positions down: one ms more covers both.
                 let carried = since_write.filter(|ms| ms.is_finite() && *ms > 0.0).map(|ms| now - ms + 1.0);
                 let own = self.commits.last(session);
@@ -348,7 +373,7 @@
             }
             _ => f64::NEG_INFINITY,
         };
-        let lot = self.chance.draw();
+        let lot = self.chance.next_f64();
         let slot = self.ops.add(Op {
             id,
             kind,
@@ -356,7 +381,7 @@
             session,
             arrived: now,
             begun: now - age,
-            target_at: now + (t.facts.target_ms + longer - age).min(patience),
+            target_at: now + (t.facts.latency_target_ms + longer - age).min(patience),
             give_up: now + patience - self.fixed.margin,
             need_pos,
             value: t.facts.value * if over_share { self.fixed.over_share_value } else { 1.0 },
@@ -374,12 +399,12 @@
     }
 
     /// The router ends: what is open is answered by then.
-    pub fn ends_by(&mut self, by: f64) {
+    pub fn set_shutdown_deadline(&mut self, by: f64) {
         state::give_up_by(&mut self.ops, by - self.fixed.margin);
     }
 
     /// The client of these has gone; no answer is owed, and none of them takes the room that another leaves.
-    pub fn left(&mut self, now: f64, out: &mut dyn Outbox, ids: &[OpId]) {
+    pub fn client_left(&mut self, now: f64, out: &mut dyn Outbox, ids: &[OpId]) {
         let open = |id: &OpId| self.ops.find(*id).filter(|s| !self.ops.get(*s).done);
         let slots: Vec<usize> = ids.iter().filter_map(open).collect();
         let groups: std::collections::BTreeSet<_> = slots.iter().map(|s| self.ops.get(*s).group).collect();
@@ -392,7 +417,7 @@
     }
 
     /// A send has ended; `over` says that its op has been answered.
-    pub fn ended(
+    pub fn send_ended(
         &mut self,
         now: f64,
         out: &mut dyn Outbox,
@@ -409,7 +434,7 @@
         s.ended = Some(ending);
         let back = Back { now, slot, host: s.host, sent: s.at, ending };
         let heard = self.hosts[back.host].heard;
-        if ending.heard() {
+        if ending.is_from_host() {
             self.contact(now, out, back.host);
         } else if matches!(ending, Ending::Reset | Ending::Unreached) && heard < back.sent {
             // The host may have closed it as idle, or take no more connections, or slowly: a probe tells.
@@ -426,7 +451,7 @@
         let h = &mut self.hosts[back.host];
         if now < self.tight_until && now >= self.dear_until && h.out.is_empty() && h.open > 0 {
             h.open = 0;
-            out.close_idle(back.host);
+            out.close_idle_connections(back.host);
         }
         let op = self.ops.get(slot);
         if !op.done && op.outstanding() == 0 && !op.held {
@@ -489,10 +514,10 @@
         let dials = self.hosts[host].idle() == 0;
         op.sends.push(Send { host, at: now, ended: None, withdrawn: false, lost: false });
         let send = op.sends.len() - 1;
-        let (group, level) = (op.group, self.types[kind].facts.level);
-        if level == Level::Write && self.primary_of(group) != Some(host) {
+        let (group, level) = (op.group, self.types[kind].facts.consistency);
+        if level == Consistency::Write && self.primary_of(group) != Some(host) {
             self.groups[group].scout = Some(slot);
-        } else if matches!(level, Level::Write | Level::Fresh) {
+        } else if matches!(level, Consistency::Write | Consistency::Fresh) {
             self.groups[group].led.add(now, usual, MEMORY);
         }
         let cold = self.warmth(now, host);
@@ -577,7 +602,8 @@
     fn lead(&mut self, turn: &mut Turn) -> Step {
         let leads = self.leads(self.ops.get(turn.slot));
         let op = self.ops.get_mut(turn.slot);
-        let (level, usual, group) = (self.types[op.kind].facts.level, self.types[op.kind].usual, op.group);
+        let (level, usual, group) =
+            (self.types[op.kind].facts.consistency, self.types[op.kind].usual, op.group);
         if !std::mem::replace(&mut op.counted, true) {
             self.groups[group].asked[leads].add(turn.now, usual, 0.0, MEMORY);
             self.asked.add(turn.now, leads, usual, op.first, (STORM, MEMORY));
@@ -598,7 +624,7 @@
         turn.ask.extend(members.iter().filter(|m| told.is_none_or(|t| t == **m)));
         // A primary out of contact would swallow what can't be sent again.
         let scouted = self.groups[group].scout.is_some_and(|s| s != turn.slot);
-        if primary.is_some() || level == Level::Fresh || scouted {
+        if primary.is_some() || level == Consistency::Fresh || scouted {
             return Step::Keep;
         }
         // The write rotates over members that have not just said they are replicas.
@@ -609,7 +635,7 @@
         let next = (0..count).map(|i| (first + i) % count).find(|i| {
             let h = &self.hosts[members[*i]];
             let tried = op.sends.iter().any(|s| s.host == members[*i]);
-            h.phase == Phase::Ready && !h.silent && h.replica_at < turn.now - PROBE_MS && !tried
+            h.phase == HostState::Ready && !h.silent && h.replica_at < turn.now - PROBE_MS && !tried
         });
         let Some(i) = next.filter(|_| misses < self.fixed.max_sends.div_ceil(2)) else {
             // Missed everywhere: the next probe, not a further send, finds the primary.
@@ -632,7 +658,7 @@
         let members = &self.groups[op.group].members;
         let free = |m: &usize| {
             let failed = op.sends.iter().any(|s| s.host == *m && s.at > turn.now - 2.0 * PROBE_MS);
-            self.hosts[*m].phase == Phase::Ready && !failed
+            self.hosts[*m].phase == HostState::Ready && !failed
         };
         let need = self.need(op, turn.now);
         let mut others: Vec<usize> =
@@ -687,7 +713,8 @@
             room.into_iter().for_each(|r| *r += self.hosts[*m].size * self.warmth(turn.now, *m));
         }
         let mut digit = (op.lot * 1024.0).fract();
-        let parts = magpiewell_shares::zone_shares(&rooms, &self.brings, self.fixed.zone, NEAR_MORE);
+        let parts =
+            magpiewell_shares::zone_shares(&rooms, &self.zone_read_shares, self.fixed.zone, NEAR_MORE);
         let zone = parts.iter().position(|part| (digit -= part, digit < 0.0).1);
         let eased = |h: &Host| (op.lot * 64.0).fract() < (NEAR_STRAIN - h.strain).max(NEAR_LEAST);
         let near = |h: &Host| Some(h.zone) == zone && eased(h);
@@ -719,7 +746,7 @@
             // all routers would go on with the same one of those.
             let place = self.hosts[m].turn;
             for o in others.into_iter().filter(|o| *o != m) {
-                let (h, lot) = (&mut self.hosts[o], self.chance.draw());
+                let (h, lot) = (&mut self.hosts[o], self.chance.next_f64());
                 h.turn = if h.turn < place { place + lot / h.size } else { h.turn };
             }
         } else {
@@ -780,7 +807,7 @@
 
     fn guard_back(&mut self, back: &Back) {
         let op = self.ops.get(back.slot);
-        let write = self.types[op.kind].facts.level == Level::Write;
+        let write = self.types[op.kind].facts.consistency == Consistency::Write;
         if self.fixed.remember && write && back.ending == Ending::Acked {
             // `told` has just brought the commit as the host's position.
             let (session, commit) = (op.session, self.hosts[back.host].pos.max(back.sent));
@@ -792,17 +819,17 @@
         let op = self.ops.get(back.slot);
         let t = &self.types[op.kind];
         // Unanswered it would have taken longer still: ops withdrawn at their target made a jam look well.
-        let rest = if back.ending.heard() { 0.0 } else { t.usual };
+        let rest = if back.ending.is_from_host() { 0.0 } else { t.usual };
         let spent = back.now - back.sent + rest;
         let cold = self.warmth(back.sent, back.host) < 1.0;
         let (leads, led) = (self.leads(op), usize::from(self.primary_of(op.group) == Some(back.host)));
         let h = &mut self.hosts[back.host];
         let Some((o, load)) = h.take_out(back.slot, back.sent) else { return };
-        h.note_connection(back.ending.heard(), o.dials);
-        if back.ending.never_ran() && back.ending != Ending::Full {
+        h.note_connection(back.ending.is_from_host(), o.dials);
+        if back.ending.cannot_have_run() && back.ending != Ending::Full {
             return;
         }
-        let late = back.ending == Ending::Full || spent > ALONE_LATE * t.facts.target_ms;
+        let late = back.ending == Ending::Full || spent > ALONE_LATE * t.facts.latency_target_ms;
         if cold {
             let least = SHARE_LEAST * self.fixed.cold_fair;
             let part = &mut self.cold[leads];
@@ -812,7 +839,7 @@
             self.spill =
                 (self.spill * if late { SHARE_CUT } else { SHARE_RISE }).clamp(SHARE_LEAST, SPILL_MOST);
         }
-        let strain = (spent / (FAIR_PART * t.facts.target_ms)).min(5.0);
+        let strain = (spent / (FAIR_PART * t.facts.latency_target_ms)).min(5.0);
         blend(&mut h.strain, strain, STRAIN_WEIGHT);
         if back.ending == Ending::Acked && !cold {
             self.warm[led].add(back.now, t.usual, 0.0, MEMORY);
@@ -841,8 +868,8 @@
     /// The latency average, against what op types usually take. Sends that died count if that raises it.
     fn rotate_back(&mut self, back: &Back) {
         let Op { kind, group, .. } = *self.ops.get(back.slot);
-        if self.is_long(kind) && !back.ending.never_ran() {
-            let in_time = back.now - back.sent <= ALONE_LATE * self.types[kind].facts.target_ms;
+        if self.is_long(kind) && !back.ending.cannot_have_run() {
+            let in_time = back.now - back.sent <= ALONE_LATE * self.types[kind].facts.latency_target_ms;
             let most = self.groups[group].members.len().max(2) as f64 - 1.0;
             self.wide = (self.wide * if in_time { NARROW } else { WIDEN }).clamp(1.0, most);
         }
@@ -867,7 +894,7 @@
             // Sent again at once, all that a crowded primary turns away would be back in a moment.
             op.not_before = back.now + 0.5 * t.usual * op.sends.len() as f64;
         }
-        if t.facts.level != Level::Write {
+        if t.facts.consistency != Consistency::Write {
             return;
         }
         let scout = &mut self.groups[op.group].scout;
@@ -887,27 +914,27 @@
     }
 
     fn may_busy_reply(&self, op: &Op) -> bool {
-        match self.types[op.kind].facts.repeat {
-            Repeat::Retryable | Repeat::Tokened { anywhere: true, .. } => true,
+        match self.types[op.kind].facts.retryability {
+            Retryability::Retryable | Retryability::Tokened { anywhere: true, .. } => true,
             _ => !op.sends.iter().any(Send::may_have_run),
         }
     }
 
     /// Until when the op may be sent, by what of it may have run.
     fn again_until(&self, op: &Op) -> f64 {
-        match (self.types[op.kind].facts.repeat, op.sends.iter().find(|s| s.may_have_run())) {
-            (_, None) | (Repeat::Retryable, _) => f64::INFINITY,
-            (Repeat::Tokened { window_ms, .. }, Some(s)) => s.at + window_ms - self.fixed.beat,
-            (Repeat::NonRetryable, Some(_)) => f64::NEG_INFINITY,
+        match (self.types[op.kind].facts.retryability, op.sends.iter().find(|s| s.may_have_run())) {
+            (_, None) | (Retryability::Retryable, _) => f64::INFINITY,
+            (Retryability::Tokened { window_ms, .. }, Some(s)) => s.at + window_ms - self.fixed.beat,
+            (Retryability::NonRetryable, Some(_)) => f64::NEG_INFINITY,
         }
     }
 
     /// The same, and by how old the host's data may be where it does not look itself.
     fn begin_by(&self, op: &Op, host: usize) -> f64 {
         let (facts, h) = (&self.types[op.kind].facts, &self.hosts[host]);
-        self.again_until(op).min(match facts.level {
+        self.again_until(op).min(match facts.consistency {
             _ if self.fixed.checked || h.excused => f64::INFINITY,
-            Level::Bounded => h.pos + facts.bound_ms,
+            Consistency::Bounded => h.pos + facts.staleness_bound_ms,
             _ if h.pos >= op.need_pos => f64::INFINITY,
             _ => f64::NEG_INFINITY,
         })
@@ -927,15 +954,15 @@
 
     /// The position that the op's data must have.
     fn need(&self, op: &Op, now: f64) -> f64 {
-        match self.types[op.kind].facts.level {
-            Level::Bounded => now - self.types[op.kind].facts.bound_ms,
+        match self.types[op.kind].facts.consistency {
+            Consistency::Bounded => now - self.types[op.kind].facts.staleness_bound_ms,
             _ => op.need_pos,
         }
     }
 
     /// Cached primary: the member with the latest claim, else the listed one.
     fn primary_of(&self, group: usize) -> Option<usize> {
-        let ready = |m: &&usize| self.hosts[**m].phase == Phase::Ready;
+        let ready = |m: &&usize| self.hosts[**m].phase == HostState::Ready;
         let members = &self.groups[group].members;
         let claim = |m: &&usize| self.hosts[**m].claim;
         let best = members.iter().filter(ready).max_by(|a, b| claim(a).total_cmp(&claim(b)));
@@ -950,13 +977,13 @@
 
     /// A read that any member may answer and that takes long.
     fn is_long(&self, kind: usize) -> bool {
-        self.types[kind].facts.level == Level::Any && self.weight(kind) > LONG
+        self.types[kind].facts.consistency == Consistency::Any && self.weight(kind) > LONG
     }
 
     fn replicas(&self, group: usize) -> impl Iterator<Item = usize> {
         let primary = self.primary_of(group);
         let members = self.groups[group].members.iter().copied();
-        members.filter(move |m| self.hosts[*m].phase == Phase::Ready && Some(*m) != primary)
+        members.filter(move |m| self.hosts[*m].phase == HostState::Ready && Some(*m) != primary)
     }
 
     fn weight(&self, kind: usize) -> f64 {
@@ -1002,7 +1029,7 @@
 
     /// 1 for what must go to the primary, 0 for other reads.
     fn leads(&self, op: &Op) -> usize {
-        usize::from(matches!(self.types[op.kind].facts.level, Level::Write | Level::Fresh))
+        usize::from(matches!(self.types[op.kind].facts.consistency, Consistency::Write | Consistency::Fresh))
     }
 
     /// What ops like this bring to the host from here, against what a warm one would be asked for here if all
@@ -1023,9 +1050,9 @@
         if full > 0.0 && asked > 0.0 { asked * part / full } else { part * parts }
     }
 
-    pub fn woken(&mut self, now: f64, out: &mut dyn Outbox) {
+    pub fn tick(&mut self, now: f64, out: &mut dyn Outbox) {
         self.now = now;
-        out.wake(self.fixed.beat);
+        out.wake_after(self.fixed.beat);
         if now >= self.ask_at {
             self.ask_list(now, out);
         }
@@ -1068,7 +1095,7 @@
                 h.limit *= if h.limit < LIMIT_LEAST { SHARE_FADE } else { 1.0 };
             }
             // The mean of what warm hosts do from here; with under an op for each the median was nothing.
-            let warm = |m: &usize| self.hosts[*m].phase == Phase::Ready && self.warmth(now, *m) >= 1.0;
+            let warm = |m: &usize| self.hosts[*m].phase == HostState::Ready && self.warmth(now, *m) >= 1.0;
             for m in (0..self.hosts.len()).filter(warm).collect::<Vec<_>>() {
                 let led = usize::from(self.primary_of(self.hosts[m].group) == Some(m));
                 self.warm[led].add(now, 0.0, self.hosts[m].size * span, MEMORY);
@@ -1079,7 +1106,7 @@
         if !std::mem::take(&mut self.stirred) {
             return;
         }
-        let counted = |h: &&Host| h.phase == Phase::Ready && h.lat_n >= LAT_READS && !h.silent;
+        let counted = |h: &&Host| h.phase == HostState::Ready && h.lat_n >= LAT_READS && !h.silent;
         let fleet = median(self.hosts.iter().filter(counted).map(|h| h.lat).collect()).unwrap_or(1.0);
         for group in 0..self.groups.len() {
             let members = &self.groups[group].members;
@@ -1118,8 +1145,12 @@
             let facts = &self.types[op.kind].facts;
             let led = self.primary_of(op.group).is_some_and(|p| !self.hosts[p].silent);
             let movable = !op.done && !op.sends[o.send].withdrawn && now < self.again_until(op);
-            let moves = movable && (facts.level != Level::Write || led);
-            if moves && self.fixed.copies > 1 && op.outstanding() == 1 && facts.repeat == Repeat::Retryable {
+            let moves = movable && (facts.consistency != Consistency::Write || led);
+            if moves
+                && self.fixed.copies > 1
+                && op.outstanding() == 1
+                && facts.retryability == Retryability::Retryable
+            {
                 self.advance(now, out, o.op);
             } else if moves && self.fixed.copies == 1 {
                 self.call_back(o.op, o.send, out);
@@ -1148,7 +1179,7 @@
         let away = if h.down_since < f64::INFINITY { now - h.down_since } else { h.pos_at - h.pos };
         let gap = if led { (0.5 * away).clamp(PROBE_MS, PROBE_MOST) } else { PROBE_MS / 2.0 };
         let due = h.probe_at.max(h.pos_at) + gap;
-        self.fixed.may_probe && h.phase == Phase::Ready && !h.probe_out && now >= due
+        self.fixed.may_probe && h.phase == HostState::Ready && !h.probe_out && now >= due
     }
 }
 
--- a/src/policy_tests.rs
+++ b/src/policy_tests.rs
@@ -15,52 +15,52 @@
 const PATIENCE: f64 = 1200.0;
 const GRACE: f64 = 500.0;
 
-fn terms() -> Terms {
-    let op_type = |level, repeat| OpTypeFacts {
-        level,
-        repeat,
-        bound_ms: if level == Level::Bounded { BOUND } else { 0.0 },
-        target_ms: 300.0,
+fn terms() -> PolicyOptions {
+    let op_type = |level, repeat| OpTypeSpec {
+        consistency: level,
+        retryability: repeat,
+        staleness_bound_ms: if level == Consistency::Bounded { BOUND } else { 0.0 },
+        latency_target_ms: 300.0,
         value: 1.0,
-        late_value: if level == Level::Write { 0.3 } else { 0.0 },
+        late_value: if level == Consistency::Write { 0.3 } else { 0.0 },
     };
-    Terms {
+    PolicyOptions {
         routers: 1.0,
-        zones: 1,
+        zone_count: 1,
         zone: usize::MAX,
         tick_ms: 5.0,
         op_types: vec![
-            op_type(Level::Write, Repeat::NonRetryable),
-            op_type(Level::Write, Repeat::Tokened { window_ms: WINDOW, anywhere: false }),
-            op_type(Level::Fresh, Repeat::Retryable),
-            op_type(Level::Session, Repeat::Retryable),
-            op_type(Level::Bounded, Repeat::Retryable),
-            op_type(Level::Any, Repeat::Retryable),
+            op_type(Consistency::Write, Retryability::NonRetryable),
+            op_type(Consistency::Write, Retryability::Tokened { window_ms: WINDOW, anywhere: false }),
+            op_type(Consistency::Fresh, Retryability::Retryable),
+            op_type(Consistency::Session, Retryability::Retryable),
+            op_type(Consistency::Bounded, Retryability::Retryable),
+            op_type(Consistency::Any, Retryability::Retryable),
         ],
         tenant_rates: vec![],
         over_share_value: 0.1,
         max_sends: 4,
-        second_copies: false,
+        may_hedge: false,
         may_withdraw: true,
         may_probe: true,
         probe_price: 0.0,
-        dial_price: 0.0,
-        crossing_price: 0.0,
-        max_retry_ms: 1000.0,
+        connection_price: 0.0,
+        cross_zone_price: 0.0,
+        max_retry_after_ms: 1000.0,
         drain_grace_ms: GRACE,
-        gone_binds: true,
-        ask_every_ms: Some(10_000.0),
-        cold_share: 0.2,
-        cold_ms: 10_000.0,
-        fall_multiple: 2.5,
-        fall_ms: 2000.0,
-        hosts_check_reads: false,
-        remember_writes: false,
+        gone_is_binding: true,
+        list_poll_interval_ms: Some(10_000.0),
+        cold_capacity_share: 0.2,
+        warmup_ms: 10_000.0,
+        overload_multiple: 2.5,
+        overload_window_ms: 2000.0,
+        hosts_reject_stale_reads: false,
+        track_session_writes: false,
     }
 }
 
-fn entry(group: usize, phase: Phase, size: f64, started: f64) -> Entry {
-    Entry { group, phase, size, started, primary: false, zone: usize::MAX }
+fn entry(group: usize, phase: HostState, size: f64, started: f64) -> HostEntry {
+    HostEntry { group, state: phase, capacity: size, started_at: started, primary: false, zone: usize::MAX }
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -88,7 +88,7 @@
     fn withdraw(&mut self, op: OpId, send: usize, cut: bool) {
         self.0.push(if cut { Act::Withdraw(op, send) } else { Act::TakeBack(op, send) });
     }
-    fn call_off(&mut self, host: usize) {
+    fn cancel_unstarted(&mut self, host: usize) {
         self.0.push(Act::CallOff(host));
     }
     fn busy_reply(&mut self, op: OpId, retry_ms: f64) {
@@ -101,13 +101,13 @@
     fn probe(&mut self, host: usize) {
         self.0.push(Act::Probe(host));
     }
-    fn close_idle(&mut self, host: usize) {
+    fn close_idle_connections(&mut self, host: usize) {
         self.0.push(Act::CloseIdle(host));
     }
-    fn follow_list(&mut self) {
+    fn watch_host_list(&mut self) {
         self.0.push(Act::Follow);
     }
-    fn wake(&mut self, in_ms: f64) {
+    fn wake_after(&mut self, in_ms: f64) {
         assert!(in_ms > 0.0);
     }
     fn log(&mut self, _line: &str) {}
@@ -135,7 +135,7 @@
 struct Rig {
     now: f64,
     policy: Policy,
-    terms: Terms,
+    terms: PolicyOptions,
     sink: Sink,
     /// Whether ops come marked as repeats; none where clients don't mark them.
     repeat: Option<bool>,
@@ -144,7 +144,7 @@
 }
 
 impl Rig {
-    fn new(terms: Terms, groups: usize, members: usize) -> Rig {
+    fn new(terms: PolicyOptions, groups: usize, members: usize) -> Rig {
         let mut sink = Sink::default();
         let now = 1_000_000.0;
         let policy = Policy::new(terms.clone(), 7, now, &mut sink);
@@ -154,12 +154,12 @@
             let (told, pos) = (None, f64::NEG_INFINITY);
             rig.hosts.push(PlainHost { group, told, drained: false, pos, excused: false });
         }
-        rig.list(&vec![(Phase::Ready, f64::NEG_INFINITY); groups * members]);
+        rig.list(&vec![(HostState::Ready, f64::NEG_INFINITY); groups * members]);
         rig
     }
 
     /// A rig whose groups' first members have shown that they are primary, with replicas up to date.
-    fn settled(terms: Terms, groups: usize, members: usize) -> Rig {
+    fn settled(terms: PolicyOptions, groups: usize, members: usize) -> Rig {
         let mut rig = Rig::new(terms, groups, members);
         rig.refresh(members);
         rig.beat();
@@ -171,28 +171,28 @@
         for host in 0..self.hosts.len() {
             let role = if host % members == 0 { Role::Primary } else { Role::Replica };
             self.told(host, Some(role), Some(self.now - 1.0), false);
-            self.policy.probed(self.now, &mut self.sink, host, Ending::Acked, 1.0);
+            self.policy.probe_ended(self.now, &mut self.sink, host, Ending::Acked, 1.0);
         }
         self.check();
     }
 
-    fn list(&mut self, entries: &[(Phase, f64)]) {
-        self.policy.list_start(true, false);
+    fn list(&mut self, entries: &[(HostState, f64)]) {
+        self.policy.list_started(true, false);
         for (host, (phase, started)) in entries.iter().enumerate() {
             let h = &mut self.hosts[host];
-            h.drained = *phase == Phase::Draining || (*phase == Phase::Gone && h.drained);
-            let free = *phase == Phase::Gone && !h.drained && !self.terms.gone_binds;
-            h.told = if *phase == Phase::Ready || free { None } else { h.told.or(Some(self.now)) };
-            self.policy.listed(self.now, host, entry(h.group, *phase, 1.0, *started));
+            h.drained = *phase == HostState::Draining || (*phase == HostState::Gone && h.drained);
+            let free = *phase == HostState::Gone && !h.drained && !self.terms.gone_is_binding;
+            h.told = if *phase == HostState::Ready || free { None } else { h.told.or(Some(self.now)) };
+            self.policy.host_listed(self.now, host, entry(h.group, *phase, 1.0, *started));
         }
-        self.policy.list_end(self.now, &mut self.sink);
+        self.policy.list_ended(self.now, &mut self.sink);
         self.check();
     }
 
     fn told(&mut self, host: usize, role: Option<Role>, pos: Option<f64>, answer: bool) {
         let h = &mut self.hosts[host];
         h.pos = pos.map_or(h.pos, |p| p.max(h.pos));
-        self.policy.told(self.now, host, role, pos, answer);
+        self.policy.host_reported(self.now, host, role, pos, answer);
         match role {
             Some(Role::Primary) => h.excused = self.policy.hosts[host].excused,
             Some(Role::Replica) if answer => h.excused = false,
@@ -213,17 +213,17 @@
         let since = Some(since).filter(|s| *s > 0.0);
         let (longer, op_timeout, tenant, session) = (0.0, PATIENCE, 0, 1);
         let (no, since_write, repeat) = (id as OpId, since, self.repeat);
-        let facts = Arrival {
+        let facts = OpRequest {
             id: no,
-            kind,
+            op_type: kind,
             group,
             tenant,
             session,
-            patience,
-            since_write,
-            repeat,
-            longer,
-            op_timeout,
+            client_timeout_ms: patience,
+            since_write_ms: since_write,
+            is_retry: repeat,
+            extra_latency_ms: longer,
+            op_timeout_ms: op_timeout,
         };
         self.policy.op_arrived(now, out, facts);
         self.check();
@@ -234,13 +234,13 @@
         let over = ending == Ending::Acked || self.ops[op].answers > 0;
         self.ops[op].sends[send].2 = Some(ending);
         self.ops[op].answers += usize::from(ending == Ending::Acked && self.ops[op].answers == 0);
-        self.policy.ended(self.now, &mut self.sink, op as OpId, send, ending, over);
+        self.policy.send_ended(self.now, &mut self.sink, op as OpId, send, ending, over);
         self.check();
     }
 
     fn beat(&mut self) {
         self.now += 5.0;
-        self.policy.woken(self.now, &mut self.sink);
+        self.policy.tick(self.now, &mut self.sink);
         self.check();
     }
 
@@ -252,16 +252,16 @@
     }
 
     fn ran(op: &PlainOp) -> Option<f64> {
-        op.sends.iter().find(|s| s.2.is_none_or(|e| !e.never_ran())).map(|s| s.1)
+        op.sends.iter().find(|s| s.2.is_none_or(|e| !e.cannot_have_run())).map(|s| s.1)
     }
 
     fn model_allows(&self, op: &PlainOp, host: usize) -> bool {
         let h = &self.hosts[host];
-        let copies = if self.terms.second_copies { 2 } else { 1 };
+        let copies = if self.terms.may_hedge { 2 } else { 1 };
         let out = op.sends.iter().filter(|s| s.2.is_none()).count();
         let bound = h.told.is_some_and(|t| self.now - t >= GRACE - 5.0);
         let need = if op.kind == BOUNDED { self.now - BOUND } else { op.need };
-        let fresh = self.terms.hosts_check_reads || h.excused || h.pos >= need;
+        let fresh = self.terms.hosts_reject_stale_reads || h.excused || h.pos >= need;
         let again = match (op.kind, Self::ran(op)) {
             (WRITE, Some(_)) => false,
             (TOKENED, Some(at)) => self.now - at < WINDOW - 5.0,
@@ -356,10 +356,10 @@
         }
         Event::List(phases) => {
             let entry = |p: &u8| match p {
-                0 => (Phase::Draining, f64::NEG_INFINITY),
-                1 => (Phase::Gone, f64::NEG_INFINITY),
-                2 => (Phase::Ready, rig.now - 500.0),
-                _ => (Phase::Ready, f64::NEG_INFINITY),
+                0 => (HostState::Draining, f64::NEG_INFINITY),
+                1 => (HostState::Gone, f64::NEG_INFINITY),
+                2 => (HostState::Ready, rig.now - 500.0),
+                _ => (HostState::Ready, f64::NEG_INFINITY),
             };
             rig.list(&phases.iter().map(entry).collect::<Vec<_>>());
         }
@@ -371,13 +371,13 @@
         Event::Beats(n) => (0..n).for_each(|_| rig.beat()),
         Event::Probed(host, ok) => {
             let ending = if ok { Ending::Acked } else { Ending::TimedOut };
-            rig.policy.probed(rig.now, &mut rig.sink, host, ending, 250.0);
+            rig.policy.probe_ended(rig.now, &mut rig.sink, host, ending, 250.0);
             rig.check();
         }
         Event::Left(n) => {
             if let Some(op) = rig.ops.get_mut(n).filter(|o| o.answers == 0) {
                 op.answers = 1;
-                rig.policy.left(rig.now, &mut rig.sink, &[n as OpId]);
+                rig.policy.client_left(rig.now, &mut rig.sink, &[n as OpId]);
                 rig.check();
             }
         }
@@ -385,12 +385,12 @@
             // Nonsense from outside must neither panic nor lead to an illegal send.
             let (now, out) = (rig.now, &mut rig.sink);
             match which {
-                0 => rig.policy.ended(now, out, 9999, 3, Ending::Acked, true),
-                1 => rig.policy.ended(now, out, 0, 200, Ending::Missed, false),
-                2 => rig.policy.told(now, 77, Some(Role::Primary), Some(now), true),
-                3 => rig.policy.told(now, 1, None, Some(f64::NAN), false),
-                4 => rig.policy.told(now, 1, None, Some(f64::INFINITY), false),
-                _ => rig.policy.probed(now, out, 500, Ending::Acked, -1.0),
+                0 => rig.policy.send_ended(now, out, 9999, 3, Ending::Acked, true),
+                1 => rig.policy.send_ended(now, out, 0, 200, Ending::Missed, false),
+                2 => rig.policy.host_reported(now, 77, Some(Role::Primary), Some(now), true),
+                3 => rig.policy.host_reported(now, 1, None, Some(f64::NAN), false),
+                4 => rig.policy.host_reported(now, 1, None, Some(f64::INFINITY), false),
+                _ => rig.policy.probe_ended(now, out, 500, Ending::Acked, -1.0),
             }
             rig.check();
         }
@@ -404,7 +404,13 @@
     let input = (events(), any::<[bool; 4]>());
     let run = |(events, [checks, copies, gone_binds, withdraw]): (Vec<Event>, [bool; 4])| {
         let (second_copies, may_withdraw) = (copies, withdraw);
-        let more = Terms { hosts_check_reads: checks, second_copies, gone_binds, may_withdraw, ..terms() };
+        let more = PolicyOptions {
+            hosts_reject_stale_reads: checks,
+            may_hedge: second_copies,
+            gone_is_binding: gone_binds,
+            may_withdraw,
+            ..terms()
+        };
         let mut rig = Rig::settled(more, 2, 3);
         events.into_iter().for_each(|event| play(&mut rig, event));
         rig.beats(PATIENCE + 20.0);
@@ -458,7 +464,7 @@
 /// On sockets a stall of the router itself once made all answers look late: no read was sent ever after.
 #[test]
 fn a_stall_does_not_keep_an_op_type_out_for_good() {
-    let mut rig = Rig::settled(Terms { hosts_check_reads: true, ..terms() }, 1, 3);
+    let mut rig = Rig::settled(PolicyOptions { hosts_reject_stale_reads: true, ..terms() }, 1, 3);
     for _ in 0..200 {
         rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
         rig.now += 700.0;
@@ -487,9 +493,9 @@
         rig.end(read, 0, Ending::Reset);
         assert!(!rig.policy.hosts[host].silent && rig.policy.hosts[host].probe_out);
         // A probe's own connection may be reset, but not twice in a row.
-        rig.policy.probed(rig.now, &mut rig.sink, host, Ending::Reset, 1.0);
+        rig.policy.probe_ended(rig.now, &mut rig.sink, host, Ending::Reset, 1.0);
         assert!(!rig.policy.hosts[host].silent && rig.policy.hosts[host].probe_out);
-        rig.policy.probed(rig.now, &mut rig.sink, host, ending, 1.0);
+        rig.policy.probe_ended(rig.now, &mut rig.sink, host, ending, 1.0);
         assert_eq!(rig.policy.hosts[host].silent, silent);
         rig.beats(2.0 * PROBE_MS);
         rig.refresh(3);
@@ -500,7 +506,7 @@
 /// One reset once set a host aside for good where nothing may be probed: no op went there to find it back.
 #[test]
 fn without_probes_an_op_finds_out_whether_a_host_is_back() {
-    let mut rig = Rig::settled(Terms { may_probe: false, ..terms() }, 1, 3);
+    let mut rig = Rig::settled(PolicyOptions { may_probe: false, ..terms() }, 1, 3);
     for _ in 0..3 {
         rig.now += 1.0;
         let write = rig.arrive(WRITE, 0, PATIENCE, 0.0);
@@ -521,17 +527,17 @@
 #[test]
 fn a_restart_that_the_list_tells_ends_silence() {
     let mut rig = Rig::settled(terms(), 1, 3);
-    rig.policy.probed(rig.now, &mut rig.sink, 1, Ending::Unreached, 1.0);
+    rig.policy.probe_ended(rig.now, &mut rig.sink, 1, Ending::Unreached, 1.0);
     rig.beats(2000.0);
     assert!(rig.policy.hosts[1].silent);
-    rig.list(&[0, 1, 2].map(|m| (Phase::Ready, if m == 1 { rig.now } else { f64::NEG_INFINITY })));
+    rig.list(&[0, 1, 2].map(|m| (HostState::Ready, if m == 1 { rig.now } else { f64::NEG_INFINITY })));
     assert!(!rig.policy.hosts[1].silent);
 }
 
 /// One fresh replica, full, beside a primary with nothing to do: reads once were shed between the two.
 #[test]
 fn where_few_replicas_are_fresh_and_full_reads_spill() {
-    let mut rig = Rig::settled(Terms { hosts_check_reads: true, ..terms() }, 1, 4);
+    let mut rig = Rig::settled(PolicyOptions { hosts_reject_stale_reads: true, ..terms() }, 1, 4);
     for host in 2..4 {
         rig.policy.hosts[host].pos = rig.now - 10.0 * BOUND;
     }
@@ -547,7 +553,7 @@
 /// A host far behind that was asked just now once kept reads from asking those that may have caught up.
 #[test]
 fn reads_ask_the_first_host_that_is_due() {
-    let mut rig = Rig::settled(Terms { hosts_check_reads: true, ..terms() }, 1, 4);
+    let mut rig = Rig::settled(PolicyOptions { hosts_reject_stale_reads: true, ..terms() }, 1, 4);
     for (host, lag, ago) in [(2, 6000.0, 0.0), (3, 700.0, 1000.0)] {
         let h = &mut rig.policy.hosts[host];
         (h.turn, h.pos, h.pos_at) = (host as f64, rig.now - ago - lag, rig.now - ago);
@@ -586,7 +592,7 @@
     let mut rig = Rig::settled(terms(), 1, 3);
     rig.arrive(WRITE, 0, PATIENCE, 0.0);
     rig.beats(20.0);
-    rig.policy.probed(rig.now, &mut rig.sink, 0, Ending::TimedOut, 10.0);
+    rig.policy.probe_ended(rig.now, &mut rig.sink, 0, Ending::TimedOut, 10.0);
     assert!(rig.policy.hosts[0].silent);
     let later = rig.arrive(WRITE, 0, PATIENCE, 0.0);
     assert_eq!(rig.host_of(later), None);
@@ -601,7 +607,7 @@
         rig.end(op, 0, Ending::Acked);
     }
     rig.beats(50.0);
-    rig.policy.probed(rig.now, &mut rig.sink, 1, Ending::TimedOut, 10.0);
+    rig.policy.probe_ended(rig.now, &mut rig.sink, 1, Ending::TimedOut, 10.0);
     rig.beat();
     assert!(rig.policy.hosts[1].silent && !rig.policy.hosts[2].silent);
     let stuck = *ops.iter().find(|o| rig.host_of(**o) == Some(1)).unwrap();
@@ -664,7 +670,7 @@
         rig.now += if n % 2 == 0 { 40.0 } else { 100.0 };
         rig.end(op, 0, if n % 2 == 0 { Ending::Acked } else { Ending::Withdrawn });
         rig.ops[op].answers = 1;
-        rig.policy.left(rig.now, &mut rig.sink, &[op as OpId]);
+        rig.policy.client_left(rig.now, &mut rig.sink, &[op as OpId]);
     }
     let t = &rig.policy.types[ANY];
     // An answer for 140 ms of waiting: as long as that it takes where what is left does not hang on what has
@@ -690,14 +696,14 @@
 #[test]
 fn many_routers_together_keep_the_cold_budget() {
     // Incident i9cc319: twelve routers each judged a cold host's room by their highest peak.
-    let many = Terms { routers: 12.0, ..terms() };
+    let many = PolicyOptions { routers: 12.0, ..terms() };
     let mut rig = Rig::settled(many, 1, 3);
     serve(&mut rig, 3, 200, |_| 20.0);
     let started = rig.now;
     rig.list(&[
-        (Phase::Ready, f64::NEG_INFINITY),
-        (Phase::Ready, started),
-        (Phase::Ready, f64::NEG_INFINITY),
+        (HostState::Ready, f64::NEG_INFINITY),
+        (HostState::Ready, started),
+        (HostState::Ready, f64::NEG_INFINITY),
     ]);
     rig.refresh(3);
     let ops: Vec<_> = (0..60).map(|_| rig.arrive(ANY, 0, PATIENCE, 0.0)).collect();
@@ -748,7 +754,7 @@
     // Hobart: reports spread evenly held up the log on every replica, and none was fresh; and routers that saw
     // little of each other's reports gathered them on different replicas.
     let mut long = terms();
-    long.op_types[ANY].target_ms = 4000.0;
+    long.op_types[ANY].latency_target_ms = 4000.0;
     for seen in [1, 3] {
         let mut rig = Rig::settled(long.clone(), 1, 4);
         serve(&mut rig, 4, seen, |_| 20.0);
@@ -761,7 +767,7 @@
 fn long_reads_move_on_to_an_idle_replica_while_most_are_fresh() {
     // Hobart on sockets: half of the reports were shed on a calm day while all replicas but the first idled.
     let mut long = terms();
-    long.op_types[ANY].target_ms = 4000.0;
+    long.op_types[ANY].latency_target_ms = 4000.0;
     for (fresh, sixth) in [(true, Some(2)), (false, None)] {
         let mut rig = Rig::settled(long.clone(), 1, 4);
         serve(&mut rig, 4, 3, |_| 20.0);
@@ -785,7 +791,7 @@
         let mut rig = Rig::settled(terms(), 1, 4);
         let mut sink = Sink::default();
         rig.policy = Policy::new(terms(), seed, rig.now, &mut sink);
-        rig.list(&[(Phase::Ready, f64::NEG_INFINITY); 4]);
+        rig.list(&[(HostState::Ready, f64::NEG_INFINITY); 4]);
         rig.refresh(4);
         let op = rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
         first[rig.host_of(op).unwrap()] += 1;
@@ -808,7 +814,7 @@
     let mut asked = false;
     for _ in 0..400 {
         rig.now += 5.0;
-        rig.policy.woken(rig.now, &mut rig.sink);
+        rig.policy.tick(rig.now, &mut rig.sink);
         asked |= rig.sink.0.contains(&Act::Follow);
         rig.check();
     }
@@ -819,7 +825,7 @@
 fn an_idle_host_that_answers_late_is_sent_a_share_only() {
     // Grown hobart, incident i4a231e: 448 routers with one op each on a full primary had no limit to cut.
     let mut sent = 0;
-    let mut rig = Rig::settled(Terms { routers: 100.0, ..terms() }, 1, 2);
+    let mut rig = Rig::settled(PolicyOptions { routers: 100.0, ..terms() }, 1, 2);
     for _ in 0..6 {
         let op = rig.arrive(WRITE, 0, PATIENCE, 0.0);
         if rig.host_of(op).is_some() {
@@ -847,7 +853,7 @@
     let op = rig.arrive(WRITE, 0, took + 30.0, 0.0);
     rig.beats(took);
     rig.end(op, 0, Ending::Unreached);
-    rig.policy.probed(rig.now, &mut rig.sink, 0, Ending::Acked, 1.0);
+    rig.policy.probe_ended(rig.now, &mut rig.sink, 0, Ending::Acked, 1.0);
     rig.beats(40.0);
 }
 
@@ -865,7 +871,7 @@
         let host = rig.host_of(read).unwrap();
         rig.ops[read].answers = 1;
         rig.ops[read].sends[0].2 = Some(Ending::Acked);
-        rig.policy.ended(rig.now, &mut rig.sink, read as OpId, 0, Ending::Acked, true);
+        rig.policy.send_ended(rig.now, &mut rig.sink, read as OpId, 0, Ending::Acked, true);
         assert_eq!(rig.sink.0.contains(&Act::CloseIdle(host)), few);
         no_connection(&mut rig, 5.0);
     }
@@ -876,13 +882,16 @@
     let mut rig = Rig::settled(terms(), 1, 3);
     let read = rig.arrive(ANY, 0, 20.0 * MEMORY, 0.0);
     let host = rig.host_of(read).unwrap();
-    let phase = |m| if m == host { Phase::Gone } else { Phase::Ready };
+    let phase = |m| if m == host { HostState::Gone } else { HostState::Ready };
     rig.list(&[0, 1, 2].map(|m| (phase(m), f64::NEG_INFINITY)));
-    assert!(!rig.policy.forget(rig.now, host));
+    assert!(!rig.policy.release_host(rig.now, host));
     rig.now += 2.0 * MEMORY;
-    assert!(!rig.policy.forget(rig.now, host) && !rig.policy.forget(rig.now, 0), "one is out, one is ready");
+    assert!(
+        !rig.policy.release_host(rig.now, host) && !rig.policy.release_host(rig.now, 0),
+        "one is out, one is ready"
+    );
     rig.end(read, 0, Ending::Acked);
-    assert!(rig.policy.forget(rig.now, host) && !rig.policy.groups[0].members.contains(&host));
+    assert!(rig.policy.release_host(rig.now, host) && !rig.policy.groups[0].members.contains(&host));
 }
 
 #[test]
@@ -905,7 +914,7 @@
 #[test]
 fn the_share_let_through_to_an_idle_host_regrows() {
     // Grown hobart: after a slow spell shares of a tenth stayed, as only served ops raised them.
-    let mut rig = Rig::settled(Terms { routers: 100.0, ..terms() }, 1, 2);
+    let mut rig = Rig::settled(PolicyOptions { routers: 100.0, ..terms() }, 1, 2);
     rig.policy.hosts[0].limit = SHARE_LEAST;
     rig.beats(3.0 * MEMORY);
     assert!(rig.policy.hosts[0].limit >= LIMIT_LEAST);
@@ -915,23 +924,23 @@
 fn odd_lists_mislead_nobody() {
     // An emptied list, one that names a host in another group with nonsense for figures, an older list again.
     for gone_binds in [true, false] {
-        let mut rig = Rig::settled(Terms { gone_binds, ..terms() }, 40, 50);
-        rig.policy.list_start(true, false);
-        rig.policy.list_end(rig.now, &mut rig.sink);
+        let mut rig = Rig::settled(PolicyOptions { gone_is_binding: gone_binds, ..terms() }, 40, 50);
+        rig.policy.list_started(true, false);
+        rig.policy.list_ended(rig.now, &mut rig.sink);
         if gone_binds {
             rig.hosts.iter_mut().for_each(|h| h.told = Some(rig.now));
         }
         rig.beats(GRACE);
         let op = rig.arrive(ANY, 3, 100.0, 0.0);
         assert_eq!(rig.host_of(op).is_some(), !gone_binds);
-        rig.policy.list_start(false, false);
-        rig.policy.listed(rig.now, 151, entry(45, Phase::Ready, f64::NAN, f64::INFINITY));
+        rig.policy.list_started(false, false);
+        rig.policy.host_listed(rig.now, 151, entry(45, HostState::Ready, f64::NAN, f64::INFINITY));
         (rig.hosts[151].group, rig.hosts[151].told) = (45, None);
-        rig.policy.list_end(rig.now, &mut rig.sink);
+        rig.policy.list_ended(rig.now, &mut rig.sink);
         let (here, there) = (rig.arrive(ANY, 3, 100.0, 0.0), rig.arrive(ANY, 45, 100.0, 0.0));
         assert!(rig.host_of(here) != Some(151) && rig.host_of(there) == Some(151));
         rig.hosts[151].group = 3;
-        rig.list(&vec![(Phase::Ready, f64::NEG_INFINITY); 2000]);
+        rig.list(&vec![(HostState::Ready, f64::NEG_INFINITY); 2000]);
         let again = rig.arrive(BOUNDED, 3, 100.0, 0.0);
         assert!(rig.host_of(again).is_none_or(|h| h / 50 == 3));
     }
@@ -943,7 +952,7 @@
     let mut few = terms();
     few.op_types[BOUNDED].value = 4.0;
     let mut rig = Rig::settled(few, 1, 3);
-    rig.policy.carries(0.4, 500.0);
+    rig.policy.set_admission(0.4, 500.0);
     // One after another, so that the hosts have no part in it.
     let taken = |rig: &mut Rig, kind| -> usize {
         let mut one = || {
@@ -958,7 +967,7 @@
     };
     let (dear, cheap) = (taken(&mut rig, BOUNDED), taken(&mut rig, ANY));
     assert!(dear > cheap, "{dear} of the dear, {cheap} of the cheap");
-    rig.policy.carries(1.0, 0.0);
+    rig.policy.set_admission(1.0, 0.0);
     let all = taken(&mut rig, ANY);
     assert!(all > 2 * cheap, "{all} once there is time again, {cheap} before");
 }
@@ -967,7 +976,11 @@
 fn where_probes_are_dear_a_read_tries_the_replica_that_was_behind() {
     // Days of hundreds of routers: two thirds of all probes asked whether a replica had caught up.
     for dear in [true, false] {
-        let prices = Terms { hosts_check_reads: true, probe_price: if dear { 0.08 } else { 0.0 }, ..terms() };
+        let prices = PolicyOptions {
+            hosts_reject_stale_reads: true,
+            probe_price: if dear { 0.08 } else { 0.0 },
+            ..terms()
+        };
         let mut rig = Rig::settled(prices, 1, 4);
         rig.refresh(4);
         (rig.policy.hosts[1].pos, rig.policy.hosts[1].turn) = (rig.now - 3.0 * BOUND, -1.0);
@@ -987,7 +1000,8 @@
 fn where_connections_are_charged_for_a_router_keeps_to_two_replicas_with_room() {
     // Days of hundreds of routers: 68,000 connections, one for every router and host and more.
     for (dear, most) in [(true, 2), (false, 4)] {
-        let mut rig = Rig::settled(Terms { dial_price: if dear { 0.08 } else { 0.0 }, ..terms() }, 1, 5);
+        let mut rig =
+            Rig::settled(PolicyOptions { connection_price: if dear { 0.08 } else { 0.0 }, ..terms() }, 1, 5);
         let mut seen = std::collections::BTreeSet::new();
         for _ in 0..20 {
             rig.refresh(5);
@@ -1009,7 +1023,7 @@
 fn long_reads_that_are_late_go_to_more_replicas_though_the_first_has_room_from_here() {
     // Calm day of 315 routers: all reports of a group went to one replica, as no router saw it full.
     let mut long = terms();
-    long.op_types[ANY].target_ms = 4000.0;
+    long.op_types[ANY].latency_target_ms = 4000.0;
     for (took, replicas) in [(3500.0, 3), (100.0, 1)] {
         let mut rig = Rig::settled(long.clone(), 1, 4);
         let mut seen = std::collections::BTreeSet::new();
@@ -1042,7 +1056,7 @@
 fn reads_stay_in_their_zone_while_it_is_fresh_warm_and_not_strained_and_the_rest_rotates() {
     // Days of hundreds of routers: two reads of three were out across a cut when a zone was cut off.
     let near = |zone| {
-        let mut rig = Rig::settled(Terms { zones: 3, zone, ..terms() }, 1, 5);
+        let mut rig = Rig::settled(PolicyOptions { zone_count: 3, zone, ..terms() }, 1, 5);
         for host in 0..5 {
             rig.policy.hosts[host].zone = host % 3;
         }
@@ -1053,7 +1067,7 @@
     assert!(went.iter().filter(|h| **h == 1).count() == 10 && went.iter().all(|h| h % 3 == 1), "{went:?}");
     assert!(read_on(&mut near(2), 20, |_| 20.0).iter().all(|h| *h == 2));
     // With one of eleven hosts near, it is not crowded: half more than its part, of three zones' routers.
-    let mut small = Rig::settled(Terms { zones: 3, zone: 2, ..terms() }, 1, 11);
+    let mut small = Rig::settled(PolicyOptions { zone_count: 3, zone: 2, ..terms() }, 1, 11);
     (0..11).for_each(|host| small.policy.hosts[host].zone = if host == 1 { 2 } else { host % 2 });
     let went = (0..200).map(|_| {
         small.refresh(11);
@@ -1099,7 +1113,7 @@
         rig.told(0, Some(Role::Replica), Some(rig.now - 1.0), true);
         let at = rig.now + 1.0;
         if let Some(host) = told {
-            rig.policy.peer_fact(rig.now + 1.0, &mut rig.sink, host, PeerFact::Leads { at });
+            rig.policy.peer_reported(rig.now + 1.0, &mut rig.sink, host, PeerReport::Primary { at });
         }
         rig.now += 300.0;
         rig.sink.0.clear();
@@ -1123,13 +1137,23 @@
 #[test]
 fn a_tale_of_lag_counts_only_where_hosts_check_reads_and_one_of_silence_only_has_the_host_looked_at() {
     for checked in [true, false] {
-        let mut rig = Rig::settled(Terms { hosts_check_reads: checked, ..terms() }, 1, 3);
+        let mut rig = Rig::settled(PolicyOptions { hosts_reject_stale_reads: checked, ..terms() }, 1, 3);
         rig.beats(BOUND + 50.0);
         let now = rig.now;
         for host in [1, 2] {
             // One that was caught up a moment ago, and one of the future.
-            rig.policy.peer_fact(now, &mut rig.sink, host, PeerFact::Behind { ms: 1.0, at: now - 1.0 });
-            rig.policy.peer_fact(now, &mut rig.sink, host, PeerFact::Behind { ms: -9e9, at: now + 9e9 });
+            rig.policy.peer_reported(
+                now,
+                &mut rig.sink,
+                host,
+                PeerReport::ReplicaLag { lag_ms: 1.0, at: now - 1.0 },
+            );
+            rig.policy.peer_reported(
+                now,
+                &mut rig.sink,
+                host,
+                PeerReport::ReplicaLag { lag_ms: -9e9, at: now + 9e9 },
+            );
         }
         assert_eq!(rig.policy.hosts[1].pos > now - 100.0, checked);
         let read = rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
@@ -1138,7 +1162,7 @@
     let mut rig = Rig::settled(terms(), 1, 3);
     rig.beats(600.0);
     rig.sink.0.clear();
-    (0..9).for_each(|_| rig.policy.peer_fact(rig.now, &mut rig.sink, 1, PeerFact::Silent));
+    (0..9).for_each(|_| rig.policy.peer_reported(rig.now, &mut rig.sink, 1, PeerReport::Unresponsive));
     assert_eq!(rig.sink.0, [Act::Probe(1)]);
     assert!(!rig.policy.hosts[1].silent);
 }
@@ -1169,16 +1193,24 @@
 fn many_routers_with_a_read_each_begin_and_go_on_as_hosts_have_capacity() {
     let (mut first, mut next) = ([0; 5], [0; 5]);
     for seed in 0..400 {
-        let mut rig = Rig::new(Terms { zones: 2, zone: 1, hosts_check_reads: true, ..terms() }, 1, 5);
+        let mut rig = Rig::new(
+            PolicyOptions { zone_count: 2, zone: 1, hosts_reject_stale_reads: true, ..terms() },
+            1,
+            5,
+        );
         let mut sink = Sink::default();
         rig.policy = Policy::new(rig.terms.clone(), seed, rig.now, &mut sink);
-        rig.policy.list_start(true, false);
+        rig.policy.list_started(true, false);
         for host in 0..5 {
             let (size, zone) = (if host == 4 { 3.0 } else { 1.0 }, usize::from(host == 1));
             let start = f64::NEG_INFINITY;
-            rig.policy.listed(rig.now, host, Entry { zone, ..entry(0, Phase::Ready, size, start) });
+            rig.policy.host_listed(
+                rig.now,
+                host,
+                HostEntry { zone, ..entry(0, HostState::Ready, size, start) },
+            );
         }
-        rig.policy.list_end(rig.now, &mut rig.sink);
+        rig.policy.list_ended(rig.now, &mut rig.sink);
         rig.refresh(5);
         // The near one is picked until it is full; then the others, which it has been ahead of.
         rig.policy.hosts[1].turn = 5.0;
@@ -1255,9 +1287,9 @@
     let (routers, ops) = (40, 10);
     let mut cold = 0;
     for seed in 0..routers {
-        let mut rig = Rig::settled(Terms { routers: 300.0, ..terms() }, 1, 8);
+        let mut rig = Rig::settled(PolicyOptions { routers: 300.0, ..terms() }, 1, 8);
         rig.policy.chance.seed = seed;
-        let mut list = vec![(Phase::Ready, f64::NEG_INFINITY); 8];
+        let mut list = vec![(HostState::Ready, f64::NEG_INFINITY); 8];
         list[5].1 = rig.now;
         rig.list(&list);
         for m in (1..8).filter(|m| *m != 5) {
@@ -1276,7 +1308,7 @@
 #[test]
 fn reads_that_no_fresh_replica_has_room_for_spill_onto_an_idle_primary() {
     // Helsinki: seven fresh replicas at their limits shed reads while their primary did half of what it could.
-    let mut rig = Rig::settled(Terms { routers: 300.0, ..terms() }, 1, 8);
+    let mut rig = Rig::settled(PolicyOptions { routers: 300.0, ..terms() }, 1, 8);
     for _ in 0..10 {
         let op = rig.arrive(WRITE, 0, PATIENCE, 0.0);
         rig.beats(20.0);
@@ -1308,14 +1340,14 @@
 fn late_answers_of_several_replicas_cut_what_is_let_through_to_any() {
     // Helsinki at full size: each of 358 routers let an op through to whichever of seven replicas it had not yet
     // found late, and each forgot in seconds: 350 sends a second kept the jam going, nearly all of them for nothing.
-    let mut rig = Rig::settled(Terms { routers: 300.0, ..terms() }, 1, 8);
+    let mut rig = Rig::settled(PolicyOptions { routers: 300.0, ..terms() }, 1, 8);
     let answer = |rig: &mut Rig, after: f64| {
         let op = rig.arrive(ANY, 0, PATIENCE, 0.0);
         if rig.host_of(op).is_some() {
             rig.beats(after);
             rig.end(op, 0, Ending::Acked);
         } else {
-            rig.policy.left(rig.now, &mut rig.sink, &[op as OpId]);
+            rig.policy.client_left(rig.now, &mut rig.sink, &[op as OpId]);
             rig.ops[op].answers += 1;
         }
     };
@@ -1328,7 +1360,7 @@
             while let Some(send) = rig.ops[op].sends.iter().position(|s| s.2.is_none()) {
                 rig.end(op, send, Ending::Unsent);
             }
-            rig.policy.left(rig.now, &mut rig.sink, &[op as OpId]);
+            rig.policy.client_left(rig.now, &mut rig.sink, &[op as OpId]);
             rig.ops[op].answers += 1;
         }
         count
@@ -1347,7 +1379,7 @@
 fn a_router_that_seldom_writes_to_a_group_may_spill_by_what_it_writes_to_others() {
     // Kingston at full size: 450 routers write to each of 14 groups once in 25 s, so none ever let a read spill, and
     // 7,122 first tries that found no replica fresh were refused beside primaries that were half idle.
-    let mut rig = Rig::settled(Terms { routers: 300.0, ..terms() }, 2, 3);
+    let mut rig = Rig::settled(PolicyOptions { routers: 300.0, ..terms() }, 2, 3);
     let spilt = |rig: &mut Rig| {
         rig.policy.hosts[1].silent = true;
         rig.policy.hosts[2].silent = true;
@@ -1377,7 +1409,7 @@
     let op = rig.arrive(ANY, 0, PATIENCE, 0.0);
     while rig.ops[op].answers == 0 {
         rig.now += 5.0;
-        rig.policy.woken(rig.now, &mut rig.sink);
+        rig.policy.tick(rig.now, &mut rig.sink);
         let acts = rig.sink.0.clone();
         rig.check();
         let at = |wanted: Act| acts.iter().position(|a| *a == wanted);
@@ -1412,10 +1444,10 @@
 #[test]
 fn what_has_not_left_is_called_back_whether_or_not_sends_can_be_withdrawn() {
     for may_withdraw in [true, false] {
-        let mut rig = Rig::settled(Terms { may_withdraw, ..terms() }, 1, 3);
+        let mut rig = Rig::settled(PolicyOptions { may_withdraw, ..terms() }, 1, 3);
         let op = rig.arrive(ANY, 0, PATIENCE, 0.0) as OpId;
         rig.sink.0.clear();
-        rig.policy.left(rig.now, &mut rig.sink, &[op]);
+        rig.policy.client_left(rig.now, &mut rig.sink, &[op]);
         let act = if may_withdraw { Act::Withdraw(op, 0) } else { Act::TakeBack(op, 0) };
         assert_eq!(rig.sink.0, [act]);
     }
@@ -1428,15 +1460,15 @@
     let op = rig.arrive(ANY, 0, PATIENCE, 0.0);
     let host = rig.host_of(op).unwrap();
     rig.sink.0.clear();
-    let mut phases = vec![(Phase::Ready, f64::NEG_INFINITY); 3];
+    let mut phases = vec![(HostState::Ready, f64::NEG_INFINITY); 3];
     rig.list(&phases);
     assert!(!rig.sink.0.contains(&Act::CallOff(host)));
-    phases[host].0 = Phase::Draining;
-    rig.policy.list_start(true, false);
+    phases[host].0 = HostState::Draining;
+    rig.policy.list_started(true, false);
     for (h, (phase, started)) in phases.iter().enumerate() {
-        rig.policy.listed(rig.now, h, entry(0, *phase, 1.0, *started));
+        rig.policy.host_listed(rig.now, h, entry(0, *phase, 1.0, *started));
     }
-    rig.policy.list_end(rig.now, &mut rig.sink);
+    rig.policy.list_ended(rig.now, &mut rig.sink);
     assert_eq!(rig.sink.0, [Act::CallOff(host)]);
 }
 
@@ -1447,7 +1479,7 @@
     let ops: Vec<OpId> = (0..3).map(|_| rig.arrive(TOKENED, 0, PATIENCE, 0.0) as OpId).collect();
     let sent = |rig: &Rig| rig.ops.iter().filter(|op| !op.sends.is_empty()).count();
     assert_eq!(sent(&rig), 1);
-    rig.policy.left(rig.now, &mut rig.sink, &ops);
+    rig.policy.client_left(rig.now, &mut rig.sink, &ops);
     rig.check();
     assert_eq!(sent(&rig), 1);
 }
@@ -1458,7 +1490,7 @@
     let mut rig = Rig::settled(terms(), 1, 3);
     let op = rig.arrive(WRITE, 0, 60_000.0, 0.0);
     let by = rig.now + 500.0;
-    rig.policy.ends_by(by);
+    rig.policy.set_shutdown_deadline(by);
     rig.beats(400.0);
     assert_eq!(rig.ops[op].answers, 0);
     rig.beats(by - rig.now);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! Shapes the policy keeps and plain mechanics on them; no choices here.
 
-use crate::{Ending, OpId, OpTypeFacts, PeerFact, Phase, Terms};
+use crate::{Ending, HostState, OpId, OpTypeSpec, PeerReport, PolicyOptions};
 use std::collections::{HashMap, VecDeque, hash_map::DefaultHasher};
 use std::hash::{Hash, Hasher};
 
@@ -42,26 +42,26 @@
     pub remember: bool,
 }
 
-impl From<&Terms> for Fixed {
+impl From<&PolicyOptions> for Fixed {
     /// Takes over what needs no choice.
-    fn from(terms: &Terms) -> Fixed {
+    fn from(terms: &PolicyOptions) -> Fixed {
         Fixed {
-            zones: terms.zones,
+            zones: terms.zone_count,
             zone: terms.zone,
             over_share_value: terms.over_share_value,
             max_sends: terms.max_sends,
-            copies: if terms.second_copies { 2 } else { 1 },
+            copies: if terms.may_hedge { 2 } else { 1 },
             may_withdraw: terms.may_withdraw,
             may_probe: terms.may_probe,
-            max_retry: terms.max_retry_ms,
+            max_retry: terms.max_retry_after_ms,
             drain_grace: terms.drain_grace_ms,
-            gone_binds: terms.gone_binds,
-            ask_every: terms.ask_every_ms,
-            cold_share: terms.cold_share.clamp(0.01, 1.0),
-            cold_ms: terms.cold_ms.max(1.0),
-            cold_window: terms.fall_ms,
-            checked: terms.hosts_check_reads,
-            remember: terms.remember_writes,
+            gone_binds: terms.gone_is_binding,
+            ask_every: terms.list_poll_interval_ms,
+            cold_share: terms.cold_capacity_share.clamp(0.01, 1.0),
+            cold_ms: terms.warmup_ms.max(1.0),
+            cold_window: terms.overload_window_ms,
+            checked: terms.hosts_reject_stale_reads,
+            remember: terms.track_session_writes,
             ..Fixed::default()
         }
     }
@@ -72,7 +72,7 @@
 pub struct Host {
     pub group: usize,
     pub zone: usize,
-    pub phase: Phase,
+    pub phase: HostState,
     /// Number of the last list or change that named it.
     pub list_no: u64,
     /// When this router was told that the host drains or is gone; infinite while it is ready.
@@ -139,7 +139,7 @@
         Host {
             group,
             zone: usize::MAX,
-            phase: Phase::Gone,
+            phase: HostState::Gone,
             list_no: 0,
             told_at: f64::INFINITY,
             drained: false,
@@ -196,20 +196,20 @@
 
     /// Notes what others say; true where it is a reason to look. How far behind it is counts only where hosts check
     /// reads themselves: else it would stand for freshness.
-    pub fn note_peer_fact(&mut self, now: f64, peer_fact: PeerFact, checked: bool) -> bool {
+    pub fn note_peer_fact(&mut self, now: f64, peer_fact: PeerReport, checked: bool) -> bool {
         match peer_fact {
-            PeerFact::Leads { at } => self.hint = self.hint.max(at.min(now)),
-            PeerFact::Behind { ms, at } if checked && at > self.pos_at && at <= now => {
+            PeerReport::Primary { at } => self.hint = self.hint.max(at.min(now)),
+            PeerReport::ReplicaLag { lag_ms: ms, at } if checked && at > self.pos_at && at <= now => {
                 (self.pos, self.pos_at) = (self.pos.max(at - ms.max(0.0)), at);
             }
-            PeerFact::Behind { .. } | PeerFact::Silent => {}
+            PeerReport::ReplicaLag { .. } | PeerReport::Unresponsive => {}
         }
-        peer_fact == PeerFact::Silent
+        peer_fact == PeerReport::Unresponsive
     }
 
     /// When others last saw it as primary, where it is there and has not shown since that it is none; else -inf.
     pub fn hinted(&self) -> f64 {
-        let there = self.phase == Phase::Ready && !self.silent;
+        let there = self.phase == HostState::Ready && !self.silent;
         let stands = there && self.hint > self.replica_at.max(self.cleared);
         if stands { self.hint } else { f64::NEG_INFINITY }
     }
@@ -270,7 +270,7 @@
 
 impl Send {
     pub fn may_have_run(&self) -> bool {
-        self.ended.is_none_or(|e| !e.never_ran())
+        self.ended.is_none_or(|e| !e.cannot_have_run())
     }
 }
 
@@ -291,7 +291,7 @@
     pub over_share: bool,
     /// Taken for a first try.
     pub first: bool,
-    /// Chance drawn once, by which the op is let through or not where only a share is.
+    /// Random drawn once, by which the op is let through or not where only a share is.
     pub lot: f64,
     /// Counted among the reads that would fall back to the primary.
     pub spilt: bool,
@@ -499,7 +499,7 @@
 /// Whether a host is gone and nothing that is out names it.
 pub fn is_over(ops: &Ops, h: &Host, host: usize) -> bool {
     let named = |op: &Op| op.sends.iter().any(|s| s.host == host);
-    h.phase == Phase::Gone && h.out.is_empty() && !h.probe_out && !ops.slots.iter().flatten().any(named)
+    h.phase == HostState::Gone && h.out.is_empty() && !h.probe_out && !ops.slots.iter().flatten().any(named)
 }
 
 /// Makes a host's record as new; its group lets it go.
@@ -547,15 +547,15 @@
     }
 }
 
-/// Chance from the standard hasher over a seed and a counter; in [0, 1).
+/// Random from the standard hasher over a seed and a counter; in [0, 1).
 #[derive(Default)]
-pub struct Chance {
+pub struct Random {
     pub seed: u64,
     pub count: u64,
 }
 
-impl Chance {
-    pub fn draw(&mut self) -> f64 {
+impl Random {
+    pub fn next_f64(&mut self) -> f64 {
         self.count += 1;
         let mut hasher = DefaultHasher::new();
         (self.seed, self.count).hash(&mut hasher);
@@ -694,7 +694,7 @@
 
 /// An op type with what is learned of it.
 pub struct OpType {
-    pub facts: OpTypeFacts,
+    pub facts: OpTypeSpec,
     /// What answers usually take, and what sends do with those that were not waited for to their end.
     pub usual: f64,
     pub took: f64,
@@ -709,7 +709,7 @@
 }
 
 impl OpType {
-    pub fn new(usual: f64, now: f64, facts: OpTypeFacts) -> OpType {
+    pub fn new(usual: f64, now: f64, facts: OpTypeSpec) -> OpType {
         let patience = Commonest::default();
         OpType {
             facts,
@@ -726,7 +726,7 @@
     /// the part of the target that is late: made longer by a stall, it would stay, as no op would be sent to
     /// learn better.
     pub fn note_time(&mut self, spent: f64, ending: Ending, well: bool, weight: f64, late: f64) {
-        let most = late * self.facts.target_ms;
+        let most = late * self.facts.latency_target_ms;
         if ending == Ending::Acked && well {
             let bounded = spent.min(5.0 * self.usual).max(1.0);
             blend(&mut self.usual, bounded, weight);
--- a/tests/replaced_hosts.rs
+++ b/tests/replaced_hosts.rs
@@ -4,8 +4,11 @@
 //! over.
 
 use magpiewell::policy::Policy;
-use magpiewell::state::Chance;
-use magpiewell::{Arrival, Ending, Entry, Level, OpId, OpTypeFacts, Outbox, Phase, Repeat, Role, Terms};
+use magpiewell::state::Random;
+use magpiewell::{
+    Consistency, Ending, HostEntry, HostState, OpId, OpRequest, OpTypeSpec, Outbox, PolicyOptions,
+    Retryability, Role,
+};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
@@ -32,40 +35,43 @@
 const READ: usize = 0;
 const WRITE: usize = 1;
 
-fn terms(routers: usize, cores: f64) -> Terms {
-    let op_type = |level, repeat| OpTypeFacts {
-        level,
-        repeat,
-        bound_ms: 0.0,
-        target_ms: TARGET,
+fn terms(routers: usize, cores: f64) -> PolicyOptions {
+    let op_type = |level, repeat| OpTypeSpec {
+        consistency: level,
+        retryability: repeat,
+        staleness_bound_ms: 0.0,
+        latency_target_ms: TARGET,
         value: 1.0,
         late_value: 0.0,
     };
-    Terms {
+    PolicyOptions {
         routers: routers as f64,
-        zones: 1,
+        zone_count: 1,
         zone: usize::MAX,
         tick_ms: 10.0,
-        op_types: vec![op_type(Level::Any, Repeat::Retryable), op_type(Level::Write, Repeat::Retryable)],
+        op_types: vec![
+            op_type(Consistency::Any, Retryability::Retryable),
+            op_type(Consistency::Write, Retryability::Retryable),
+        ],
         tenant_rates: vec![BUILT * cores / CORES * GROUPS as f64],
         over_share_value: 0.1,
         max_sends: 4,
-        second_copies: false,
+        may_hedge: false,
         may_withdraw: true,
         may_probe: true,
         probe_price: 0.0,
-        dial_price: 0.0,
-        crossing_price: 0.0,
-        max_retry_ms: 1000.0,
+        connection_price: 0.0,
+        cross_zone_price: 0.0,
+        max_retry_after_ms: 1000.0,
         drain_grace_ms: 500.0,
-        gone_binds: true,
-        ask_every_ms: None,
-        cold_share: COLD_SHARE,
-        cold_ms: COLD_MS,
-        fall_multiple: FALL,
-        fall_ms: WINDOW,
-        hosts_check_reads: true,
-        remember_writes: false,
+        gone_is_binding: true,
+        list_poll_interval_ms: None,
+        cold_capacity_share: COLD_SHARE,
+        warmup_ms: COLD_MS,
+        overload_multiple: FALL,
+        overload_window_ms: WINDOW,
+        hosts_reject_stale_reads: true,
+        track_session_writes: false,
     }
 }
 
@@ -93,9 +99,9 @@
     fn probe(&mut self, host: usize) {
         self.0.push(Act::Probe(host));
     }
-    fn close_idle(&mut self, _: usize) {}
-    fn follow_list(&mut self) {}
-    fn wake(&mut self, _: f64) {}
+    fn close_idle_connections(&mut self, _: usize) {}
+    fn watch_host_list(&mut self) {}
+    fn wake_after(&mut self, _: f64) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -162,7 +168,7 @@
     order: BinaryHeap<Reverse<(u64, usize)>>,
     ops: HashMap<OpId, Op>,
     next: OpId,
-    chance: Chance,
+    chance: Random,
     /// By second of the first try: asked, and served in time.
     asked: Vec<f64>,
     served: Vec<f64>,
@@ -175,7 +181,7 @@
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.chance.draw()).ln()
+        -mean * (1.0 - self.chance.next_f64()).ln()
     }
 
     fn primary(&self, group: usize) -> usize {
@@ -190,18 +196,22 @@
     fn tell(&mut self, router: usize) {
         let (now, mut acts) = (self.now, Acts::default());
         let policy = &mut self.routers[router];
-        policy.list_start(true, now == 0.0);
+        policy.list_started(true, now == 0.0);
         for (no, host) in self.hosts.iter().enumerate() {
             let old = host.started.is_none();
             let leaves = old && no % MEMBERS < REPLACED;
-            let phase = if leaves && now >= DRAIN { Phase::Draining } else { Phase::Ready };
+            let phase = if leaves && now >= DRAIN { HostState::Draining } else { HostState::Ready };
             if old || now >= START {
                 let started = host.started.unwrap_or(f64::NEG_INFINITY);
                 let (group, size, primary, zone) = (host.group, 1.0, false, usize::MAX);
-                policy.listed(now, no, Entry { group, phase, size, started, primary, zone });
+                policy.host_listed(
+                    now,
+                    no,
+                    HostEntry { group, state: phase, capacity: size, started_at: started, primary, zone },
+                );
             }
         }
-        policy.list_end(now, &mut acts);
+        policy.list_ended(now, &mut acts);
         self.carry_out(router, acts);
     }
 
@@ -250,17 +260,17 @@
                 let (patience, repeat) = (since + PATIENCE - now, Some(tries > 0));
                 let (tenant, session, since_write, longer, op_timeout) = (0, 0, None, 0.0, PATIENCE);
                 let id = op;
-                let facts = Arrival {
+                let facts = OpRequest {
                     id,
-                    kind,
+                    op_type: kind,
                     group,
                     tenant,
                     session,
-                    patience,
-                    since_write,
-                    repeat,
-                    longer,
-                    op_timeout,
+                    client_timeout_ms: patience,
+                    since_write_ms: since_write,
+                    is_retry: repeat,
+                    extra_latency_ms: longer,
+                    op_timeout_ms: op_timeout,
                 };
                 self.routers[router].op_arrived(now, &mut acts, facts);
                 router
@@ -275,15 +285,15 @@
                 }
                 let over = o.answered;
                 let policy = &mut self.routers[router];
-                policy.told(now, host, Some(role), Some(now), true);
-                policy.ended(now, &mut acts, op, send, ending, over);
+                policy.host_reported(now, host, Some(role), Some(now), true);
+                policy.send_ended(now, &mut acts, op, send, ending, over);
                 router
             }
             Event::Probed { router, host } => {
                 let role = self.role(host);
                 let policy = &mut self.routers[router];
-                policy.told(now, host, Some(role), Some(now), true);
-                policy.probed(now, &mut acts, host, Ending::Acked, 3.0);
+                policy.host_reported(now, host, Some(role), Some(now), true);
+                policy.probe_ended(now, &mut acts, host, Ending::Acked, 3.0);
                 router
             }
             Event::Told { router } => return self.tell(router),
@@ -309,7 +319,7 @@
             order: BinaryHeap::new(),
             ops: HashMap::new(),
             next: 0,
-            chance: Chance { seed, count: 0 },
+            chance: Random { seed, count: 0 },
             asked: vec![0.0; seconds],
             served: vec![0.0; seconds],
         };
@@ -319,16 +329,16 @@
             day.routers.push(policy);
             day.tell(router);
             for change in [START, DRAIN] {
-                let late = 300.0 * day.chance.draw();
+                let late = 300.0 * day.chance.next_f64();
                 day.at(change + late, Event::Told { router });
             }
         }
         let mut when = 0.0;
         while when < END - 2.0 * PATIENCE {
             when += day.exponential(1000.0 / (rate * GROUPS as f64));
-            let router = (day.chance.draw() * routers as f64) as usize;
-            let group = (day.chance.draw() * GROUPS as f64) as usize;
-            let kind = if day.chance.draw() < 0.3 { WRITE } else { READ };
+            let router = (day.chance.next_f64() * routers as f64) as usize;
+            let group = (day.chance.next_f64() * GROUPS as f64) as usize;
+            let kind = if day.chance.next_f64() < 0.3 { WRITE } else { READ };
             day.asked[(when / 1000.0) as usize] += 1.0;
             day.at(when, Event::Ask { router, kind, group, since: when, tries: 0 });
         }
@@ -346,7 +356,7 @@
             day.now = beat;
             for router in 0..routers {
                 let mut acts = Acts::default();
-                day.routers[router].woken(beat, &mut acts);
+                day.routers[router].tick(beat, &mut acts);
                 day.carry_out(router, acts);
             }
         }
