--- a/crates/lab/src/capacity/databases.rs
+++ b/crates/lab/src/capacity/databases.rs
@@ -3,7 +3,7 @@
 
 use super::setup;
 use crate::tier::net::{self, Wire};
-use magpiewell_pg::{frame, say};
+use magpiewell_pg::{encode, frame};
 use mio::{Events, Interest, Poll, Token};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -249,7 +249,7 @@
                 Err(_) => return false,
             }
             self.opened = true;
-            say::welcome(&mut self.wire.out);
+            encode::startup_reply(&mut self.wire.out);
         }
         loop {
             match frame::message(&self.wire.came, STATEMENT_BYTES) {
@@ -279,7 +279,7 @@
         out.extend(message(b'C', format!("{tag}\0").as_bytes()));
         out.extend(message(b'S', format!("server_role\0{role}\0").as_bytes()));
         out.extend(message(b'S', format!("commit_clock\0{position:.3}\0").as_bytes()));
-        out.extend_from_slice(&say::READY);
+        out.extend_from_slice(&encode::READY_FOR_QUERY);
     }
 }
 
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -1,6 +1,6 @@
 //! A plain client of the router: opens a connection, asks, reads the answer.
 
-use magpiewell_pg::{frame, say};
+use magpiewell_pg::{encode, frame};
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -33,7 +33,7 @@
     pub fn open(at: SocketAddr) -> Result<Client> {
         let mut client = Client::connect(at)?;
         let mut opening = Vec::new();
-        say::startup(&mut opening, "svc", "main");
+        encode::startup_message(&mut opening, "svc", "main");
         client.stream.write_all(&opening)?;
         client.answer()?;
         Ok(client)
@@ -52,7 +52,7 @@
 
     /// Whether the router says that it knows a list of hosts: it answers an empty query without an error.
     pub fn is_ready(&mut self) -> Result<bool> {
-        self.stream.write_all(&[&say::query_head(0)[..], &[0]].concat())?;
+        self.stream.write_all(&[&encode::query_header(0)[..], &[0]].concat())?;
         Ok(self.answer()? == Answer::Acked)
     }
 
@@ -93,7 +93,7 @@
         let id = NEXT.fetch_add(1, Relaxed);
         let facts = format!("id={id:016x},c={op_type},t=acme,d={wait},cluster={group}");
         let text = format!("SELECT v FROM records WHERE k = 'k{id}' /* {facts} */");
-        let head = say::query_head(text.len());
+        let head = encode::query_header(text.len());
         self.stream.write_all(&[&head[..], text.as_bytes(), &[0]].concat())?;
         self.answer()
     }
--- a/crates/lab/src/host.rs
+++ b/crates/lab/src/host.rs
@@ -1,6 +1,6 @@
 //! A stand-in db host on loopback: admits everybody and answers each statement at once, reads as a replica.
 
-use magpiewell_pg::{frame, say};
+use magpiewell_pg::{encode, frame};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -15,7 +15,7 @@
     let role = message(b'S', format!("server_role\0{role}\0").as_bytes());
     let parts =
         [message(b'T', &described), message(b'D', &data), message(b'C', format!("{tag}\0").as_bytes())];
-    [parts.concat(), role, say::READY.to_vec()].concat()
+    [parts.concat(), role, encode::READY_FOR_QUERY.to_vec()].concat()
 }
 
 /// Listens on a free port until the process ends.
@@ -46,7 +46,7 @@
             let Some((_, body)) = frame::startup(&buf, 10_000).map_err(bad)? else { continue };
             buf.drain(..body.end);
             let mut admits = Vec::new();
-            say::welcome(&mut admits);
+            encode::startup_reply(&mut admits);
             stream.write_all(&admits)?;
             opened = true;
         }
--- a/crates/lab/src/tier/clients.rs
+++ b/crates/lab/src/tier/clients.rs
@@ -5,7 +5,7 @@
 use super::plan::Plan;
 use super::record::{How, Kind, Record, Seen};
 use super::script::draw;
-use magpiewell_pg::{frame, say};
+use magpiewell_pg::{encode, frame};
 use mio::{Events, Poll, Token};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -169,7 +169,7 @@
         let op = Op { id: self.next_op, asked: now, leaves };
         let text = statement(op.id, kind, group, session);
         let Some(client) = self.clients.get_mut(&no) else { return };
-        let head = say::query_head(text.len());
+        let head = encode::query_header(text.len());
         client.wire.out.extend([&head[..], text.as_bytes(), &[0]].concat());
         (client.op, client.how) = (Some(op), None);
         client.wire.write();
@@ -183,7 +183,7 @@
         let no = self.next;
         self.next += 1;
         wire.watch(self.poll.registry(), Token(no)).ok()?;
-        say::startup(&mut wire.out, "svc", "main");
+        encode::startup_message(&mut wire.out, "svc", "main");
         let client = Client { wire, router, opened: false, op: None, how: None };
         self.clients.insert(no, client);
         Some(no)
@@ -224,7 +224,7 @@
         let id = client.op.map(|op| op.id);
         match kind {
             b'D' => {
-                let value = frame::column(body).and_then(|v| std::str::from_utf8(v).ok());
+                let value = frame::first_column(body).and_then(|v| std::str::from_utf8(v).ok());
                 // The value names the op it was made for, and its position.
                 let made = value.and_then(|v| v.strip_prefix("\\x")).and_then(|v| v.split_once('@'));
                 let whose = made.and_then(|(op, _)| u64::from_str_radix(op, 16).ok());
--- a/crates/lab/src/tier/hosts.rs
+++ b/crates/lab/src/tier/hosts.rs
@@ -6,7 +6,7 @@
 use super::plan::{Listed, Plan};
 use super::record::{Kind, Record, Seen, WINDOW_MS};
 use super::script::{A_PROCESS, ends};
-use magpiewell_pg::{frame, head, say};
+use magpiewell_pg::{encode, frame, statement};
 use mio::{Events, Interest, Poll, Token};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -189,10 +189,10 @@
         let at = conn.host - self.first;
         let mut says = Vec::new();
         if self.open[at] > self.plan.script.host.connections {
-            say::error(&mut says, true, "53300", "too many connections", "");
+            encode::error_response(&mut says, true, "53300", "too many connections", "");
         } else {
             self.machines[at].dialled(now);
-            say::welcome(&mut says);
+            encode::startup_reply(&mut says);
         }
         self.say(no, now, says);
     }
@@ -202,8 +202,8 @@
         let (host, router) = (conn.host, conn.router);
         if text.is_empty() {
             let mut says = Vec::new();
-            say::empty(&mut says);
-            says.extend_from_slice(&say::READY);
+            encode::empty_query_response(&mut says);
+            says.extend_from_slice(&encode::READY_FOR_QUERY);
             return self.say(no, now, says);
         }
         let Some(op) = Statement::read(text) else {
@@ -248,11 +248,11 @@
         let Some(conn) = self.conns.get(&no) else { return };
         self.record.push((now, Seen::Turned { op, host: conn.host as u32 }));
         let mut says = Vec::new();
-        say::error(&mut says, false, code, "turned away", "");
+        encode::error_response(&mut says, false, code, "turned away", "");
         let (role, pos) = self.tells(conn.host, now);
         says.extend(parameter("server_role", role));
         says.extend(parameter("commit_clock", &format!("{:.3}", pos + self.epoch.unix)));
-        says.extend_from_slice(&say::READY);
+        says.extend_from_slice(&encode::READY_FOR_QUERY);
         self.say(no, now, says);
     }
 
@@ -269,8 +269,8 @@
             if self.plan.primary(group, now) != Some(host) {
                 // It lost its role with the write in hand: no effect, and nobody can tell.
                 let mut says = Vec::new();
-                say::error(&mut says, false, "XX000", "no longer the primary", "");
-                says.extend_from_slice(&say::READY);
+                encode::error_response(&mut says, false, "XX000", "no longer the primary", "");
+                says.extend_from_slice(&encode::READY_FOR_QUERY);
                 return self.say(no, now, says);
             }
             let seen = self.tokens.get(&(group, token)).filter(|at| now - **at < WINDOW_MS).copied();
@@ -315,7 +315,7 @@
             message(b'C', format!("{tag}\0").as_bytes()),
             parameter("server_role", role),
             parameter("commit_clock", &format!("{:.3}", told + self.epoch.unix)),
-            say::READY.to_vec(),
+            encode::READY_FOR_QUERY.to_vec(),
         ]
         .concat()
     }
@@ -415,9 +415,9 @@
 
 impl Statement {
     fn read(text: &str) -> Option<Statement> {
-        let found = head::statement(text).ok()?;
+        let found = statement::parse(text).ok()?;
         let (mut id, mut kind, mut token) = (None, None, 0);
-        for (name, at) in head::facts(text, found.comment) {
+        for (name, at) in statement::attributes(text, found.comment) {
             let value = &text[at];
             match name {
                 "id" => id = u64::from_str_radix(value, 16).ok(),
--- a/crates/lab/tests/limit.rs
+++ b/crates/lab/tests/limit.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "shared with the router's own tests")]
 mod stand_in;
 
-use magpiewell_pg::say;
+use magpiewell_pg::encode;
 use stand_in::*;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -32,7 +32,7 @@
                     }
                     _ => {
                         let mut opening = Vec::new();
-                        say::startup(&mut opening, "svc", "main");
+                        encode::startup_message(&mut opening, "svc", "main");
                         let mut client = Client(Messages::new(stream));
                         client.0.stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
                         let mut next = opening;
--- a/crates/pg/src/say.rs
+++ b/crates/pg/src/encode.rs
@@ -16,10 +16,10 @@
 }
 
 /// Ready for the next command.
-pub const READY: [u8; 6] = [b'Z', 0, 0, 0, 5, b'I'];
+pub const READY_FOR_QUERY: [u8; 6] = [b'Z', 0, 0, 0, 5, b'I'];
 
 /// Admits a client.
-pub fn welcome(out: &mut Vec<u8>) {
+pub fn startup_reply(out: &mut Vec<u8>) {
     message(out, b'R', |m| m.extend_from_slice(&[0; 4]));
     for (name, value) in [
         ("server_version", "16.0"),
@@ -35,20 +35,20 @@
         });
     }
     message(out, b'K', |m| m.extend_from_slice(&[0; 8]));
-    out.extend_from_slice(&READY);
+    out.extend_from_slice(&READY_FOR_QUERY);
 }
 
 /// Tells that only version 3.0 is spoken here.
-pub fn version(out: &mut Vec<u8>) {
+pub fn negotiate_protocol_version(out: &mut Vec<u8>) {
     message(out, b'v', |m| m.extend_from_slice(&[0, 3, 0, 0, 0, 0, 0, 0]));
 }
 
-pub fn empty(out: &mut Vec<u8>) {
+pub fn empty_query_response(out: &mut Vec<u8>) {
     message(out, b'I', |_| ());
 }
 
 /// An error; `detail` is left out where it is empty.
-pub fn error(out: &mut Vec<u8>, fatal: bool, code: &str, line: &str, detail: &str) {
+pub fn error_response(out: &mut Vec<u8>, fatal: bool, code: &str, line: &str, detail: &str) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
     let fields = [(b'S', severity), (b'V', severity), (b'C', code), (b'M', line), (b'D', detail)];
     message(out, b'E', |m| {
@@ -61,7 +61,7 @@
 }
 
 /// Opens a connection to a host.
-pub fn startup(out: &mut Vec<u8>, user: &str, database: &str) {
+pub fn startup_message(out: &mut Vec<u8>, user: &str, database: &str) {
     let at = out.len();
     out.extend_from_slice(&[0, 0, 0, 0, 0, 3, 0, 0]);
     for word in ["user", user, "database", database] {
@@ -73,7 +73,7 @@
 }
 
 /// What stands before a statement of so many bytes; a zero byte has to follow the statement.
-pub fn query_head(length: usize) -> [u8; 5] {
+pub fn query_header(length: usize) -> [u8; 5] {
     let [a, b, c, d] = (length as u32 + 5).to_be_bytes();
     [b'Q', a, b, c, d]
 }
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,7 +1,7 @@
 //! PostgreSQL's protocol, version 3: framing, heads of statements, words that a router says. No I/O, and
 //! what is read stays where it stands in its buffer.
 
+pub mod encode;
 pub mod frame;
-pub mod head;
-pub mod say;
-pub mod shape;
+pub mod statement;
+pub mod validate;
--- a/crates/pg/src/head.rs
+++ b/crates/pg/src/statement.rs
@@ -15,7 +15,7 @@
 const WRITE: &str = "INSERT INTO n ( n , n ) VALUES ( q , q ) RETURNING n";
 
 /// Reads a statement: one of the two forms, then one comment with the op's facts, and nothing else.
-pub fn statement(text: &str) -> Result<Statement, &'static str> {
+pub fn parse(text: &str) -> Result<Statement, &'static str> {
     const FORM: &str = "not a read or write of one record as they are taken here";
     let mut words = Words { text, at: 0 };
     let first = words.peek()?;
@@ -100,7 +100,7 @@
 
 /// The facts of a comment, `name=value` between commas: each name, and where its value stands. A part of any
 /// other form has an empty name.
-pub fn facts(text: &str, inside: Range<usize>) -> impl Iterator<Item = (&str, Range<usize>)> {
+pub fn attributes(text: &str, inside: Range<usize>) -> impl Iterator<Item = (&str, Range<usize>)> {
     let mut at = inside.start;
     text[inside].split(',').map(move |part| {
         let start = at;
--- a/crates/pg/tests/framing.rs
+++ b/crates/pg/tests/framing.rs
@@ -1,6 +1,6 @@
 //! Framing and heads on any bytes: nothing panics, and how the bytes are split changes nothing.
 
-use magpiewell_pg::{frame, head, say, shape};
+use magpiewell_pg::{encode, frame, statement, validate};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -53,10 +53,10 @@
     fn any_bytes_are_read_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..60), at in 0..70usize) {
         let _ = frame::message(&bytes, 40);
         let _ = frame::startup(&bytes, 40);
-        let _ = frame::text(&bytes, at);
+        let _ = frame::c_string(&bytes, at);
         let _ = frame::error_field(&bytes, b'C');
-        let _ = frame::columns(&bytes);
-        let _ = frame::column(&bytes);
+        let _ = frame::column_count(&bytes);
+        let _ = frame::first_column(&bytes);
     }
 
     /// Noise is never taken for a message of a host once its head is there, but for those few heads that fit.
@@ -64,10 +64,10 @@
     fn any_message_of_a_host_is_judged_without_a_panic(
         kind in any::<u8>(), length in 0..40usize, body in prop::collection::vec(any::<u8>(), 0..40),
     ) {
-        if shape::may_begin(kind, length, &body) {
-            prop_assert!(shape::is_kind(kind) && length >= 5);
+        if validate::is_valid_prefix(kind, length, &body) {
+            prop_assert!(validate::is_known_kind(kind) && length >= 5);
         }
-        let _ = (shape::parameter(&body), shape::error_code(&body));
+        let _ = (validate::parameter_status(&body), validate::sqlstate(&body));
     }
 
     /// However little of it is there, a good message may begin so; one whose lengths do not fit may not.
@@ -76,17 +76,17 @@
         let length = value.len() + 10;
         let stated = (value.len() as i64 + off) as u32;
         let body = [&[0, 1][..], &stated.to_be_bytes(), &value].concat();
-        let may = shape::may_begin(b'D', length, &body[..cut.min(body.len())]);
+        let may = validate::is_valid_prefix(b'D', length, &body[..cut.min(body.len())]);
         let null = stated == u32::MAX && value.is_empty();
         prop_assert_eq!(may, off == 0 || null || cut.min(body.len()) < 6);
     }
 
     #[test]
     fn any_statement_is_read_without_a_panic(text in "(SELECT v FROM |INSERT )?[a-z'\"/*;=,\\- \n\u{e9}]{0,40}") {
-        if let Ok(found) = head::statement(&text) {
+        if let Ok(found) = statement::parse(&text) {
             prop_assert!(text.get(found.key).is_some());
         }
-        for (name, at) in head::facts(&text, 0..text.len()) {
+        for (name, at) in statement::attributes(&text, 0..text.len()) {
             prop_assert!(!name.contains(',') && !text[at].contains(','));
         }
     }
@@ -105,10 +105,10 @@
             ("SELECT v FROM r WHERE k =", "")
         };
         let text = format!("{before}{spaces}'{quoted}'{behind}{spaces}/* id=1,d={spaces}{wait},c=x */{spaces};");
-        let found = head::statement(&text).unwrap();
+        let found = statement::parse(&text).unwrap();
         prop_assert_eq!(&text[found.key], quoted);
         prop_assert_eq!(found.writes, writes);
-        let facts: Vec<_> = head::facts(&text, found.comment).collect();
+        let facts: Vec<_> = statement::attributes(&text, found.comment).collect();
         prop_assert_eq!(facts[1].0, "d");
         prop_assert_eq!(&text[facts[1].1.clone()], wait.to_string());
         prop_assert_eq!(facts.len(), 3);
@@ -117,11 +117,11 @@
     #[test]
     fn what_is_said_is_framed(line in "[a-z\0]{0,20}", detail in "[0-9]{0,5}", fatal in any::<bool>()) {
         let mut said = Vec::new();
-        say::welcome(&mut said);
-        say::version(&mut said);
-        say::empty(&mut said);
-        say::error(&mut said, fatal, "53300", &line, &detail);
-        said.extend_from_slice(&say::READY);
+        encode::startup_reply(&mut said);
+        encode::negotiate_protocol_version(&mut said);
+        encode::empty_query_response(&mut said);
+        encode::error_response(&mut said, fatal, "53300", &line, &detail);
+        said.extend_from_slice(&encode::READY_FOR_QUERY);
         let (messages, fine) = read(&said, 0);
         prop_assert!(fine);
         let error = &messages[messages.len() - 2];
@@ -129,7 +129,7 @@
         prop_assert_eq!(frame::error_field(&error.1, b'D').is_some(), !detail.is_empty());
         prop_assert_eq!(messages.last(), Some(&(b'Z', vec![b'I'])));
         let mut opening = Vec::new();
-        say::startup(&mut opening, "svc", "main");
+        encode::startup_message(&mut opening, "svc", "main");
         prop_assert_eq!(frame::startup(&opening, 100), Ok(Some((3 << 16, 8..opening.len()))));
     }
 }
@@ -137,7 +137,7 @@
 #[test]
 fn what_is_no_read_or_write_of_one_record_is_refused() {
     let good = "SELECT v FROM records WHERE k = 'a' /* id=1 */";
-    assert!(head::statement(good).is_ok());
+    assert!(statement::parse(good).is_ok());
     let none =
         ["", "frob", "SELECT 1", "DROP TABLE records", "SELECT v FROM records WHERE k = 'a", "SELECT /* a"];
     let changed = [
@@ -155,6 +155,6 @@
     ];
     let changed = changed.iter().map(|(from, to)| good.replacen(from, to, 1));
     for text in none.map(str::to_string).into_iter().chain(changed) {
-        assert!(head::statement(&text).is_err(), "{text}");
+        assert!(statement::parse(&text).is_err(), "{text}");
     }
 }
--- a/crates/router/src/admit.rs
+++ b/crates/router/src/admit.rs
@@ -1,6 +1,6 @@
 //! Admits statements: finds their facts and maps names to small numbers.
 
-use magpiewell_pg::head;
+use magpiewell_pg::statement;
 use magpiewell_terms::settings::Fields;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -50,11 +50,11 @@
 
     /// The facts, or what is wrong with the statement.
     pub fn admit(&self, text: &str) -> Result<Facts, String> {
-        let found = head::statement(text)?;
+        let found = statement::parse(text)?;
         let (mut kind, mut tenant, mut cluster, mut wait) = (None, None, None, None);
         let (mut id, mut after, mut repeat, mut token) = (None, None, false, false);
         let mut seen: Vec<&str> = Vec::with_capacity(8);
-        for (name, at) in head::facts(text, found.comment) {
+        for (name, at) in statement::attributes(text, found.comment) {
             let value = &text[at.clone()];
             let wrong = || format!("fact '{name}' has no usable value");
             if name.is_empty() || seen.contains(&name) {
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -2,7 +2,7 @@
 
 use crate::probe::Told;
 use magpiewell::Ending;
-use magpiewell_pg::{frame, shape};
+use magpiewell_pg::{frame, validate};
 
 /// How a job went.
 pub struct Result {
@@ -82,16 +82,18 @@
             (b'N', _) => Some(self.last),
             (b'S', _) => {
                 // One that can't be read is passed over alone: the answer beside it may be good.
-                if let Some((name, value)) = shape::parameter(body).filter(|_| self.last != Last::Opening) {
+                if let Some((name, value)) =
+                    validate::parameter_status(body).filter(|_| self.last != Last::Opening)
+                {
                     self.told.parameter(name, value);
                 }
                 Some(self.last)
             }
             (b'T', Last::Nothing) => Some(Last::Description),
             (b'D', Last::Description) => Some(Last::Row),
-            (b'C', Last::Row) => Some(Last::Completion).filter(|_| shape::completes(body, self.tag)),
+            (b'C', Last::Row) => Some(Last::Completion).filter(|_| validate::is_completion(body, self.tag)),
             (b'E', Last::Opening | Last::Nothing | Last::Description | Last::Row) => {
-                self.code = shape::error_code(body).unwrap_or_default().to_vec();
+                self.code = validate::sqlstate(body).unwrap_or_default().to_vec();
                 self.refused = self.last == Last::Opening;
                 // One who is not let in is told no more.
                 let next = if self.refused { Last::Ready } else { Last::Error };
@@ -104,7 +106,7 @@
             self.answer.extend_from_slice(whole);
         }
         if kind == b'D' {
-            self.value = frame::column(body).unwrap_or_default().to_vec();
+            self.value = frame::first_column(body).unwrap_or_default().to_vec();
         }
         self.last = next;
     }
--- a/crates/router/src/client_loop/tests.rs
+++ b/crates/router/src/client_loop/tests.rs
@@ -57,7 +57,7 @@
     let no = clients.next;
     clients.welcome(stream);
     let mut opening = Vec::new();
-    magpiewell_pg::say::startup(&mut opening, "svc", "main");
+    magpiewell_pg::encode::startup_message(&mut opening, "svc", "main");
     // Messages that are passed over, more than some turns take.
     let passed = [b'd', 0, 0, 0, 4].repeat(200_000);
     std::io::Write::write_all(&mut ours, &opening).unwrap();
--- a/crates/router/src/client_reader.rs
+++ b/crates/router/src/client_reader.rs
@@ -6,7 +6,7 @@
 use crate::relay::Client;
 use crate::shared::{Held, Shared};
 use crossbeam_channel::Sender;
-use magpiewell_pg::{frame, say};
+use magpiewell_pg::{encode, frame};
 use std::io::{ErrorKind, Read};
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Acquire, Relaxed};
@@ -350,13 +350,13 @@
             at += body.end;
             let mut reply = Vec::new();
             match code {
-                frame::TLS | frame::GSS => reply.push(b'N'),
-                frame::CANCEL => return Err(Gone),
+                frame::SSL_REQUEST | frame::GSSENC_REQUEST => reply.push(b'N'),
+                frame::CANCEL_REQUEST => return Err(Gone),
                 _ if code >> 16 == 3 => {
                     if code & 0xffff != 0 {
-                        say::version(&mut reply);
+                        encode::negotiate_protocol_version(&mut reply);
                     }
-                    say::welcome(&mut reply);
+                    encode::startup_reply(&mut reply);
                     self.opened = true;
                 }
                 _ => {
@@ -384,7 +384,7 @@
                 b'X' => return Err(Gone),
                 b'S' => {
                     self.skipping = false;
-                    self.reply(say::READY.to_vec())?;
+                    self.reply(encode::READY_FOR_QUERY.to_vec())?;
                 }
                 b'd' | b'c' | b'f' | b'H' => {}
                 _ if self.skipping => {}
@@ -392,7 +392,7 @@
                 b'P' | b'B' | b'D' | b'E' | b'C' => {
                     self.skipping = true;
                     let mut reply = Vec::new();
-                    say::error(&mut reply, false, "0A000", "only simple queries are taken", "");
+                    encode::error_response(&mut reply, false, "0A000", "only simple queries are taken", "");
                     self.reply(reply)?;
                 }
                 b'F' => self.wrong("0A000", "only simple queries are taken")?,
@@ -404,7 +404,7 @@
     fn query(&mut self, body: &[u8]) -> Result<(), Over> {
         let taken = self.shared.clock.now();
         // Its one zero byte stands at its end: one inside would hide what follows it.
-        let Some((text, _)) = frame::text(body, 0).filter(|(_, end)| *end == body.len()) else {
+        let Some((text, _)) = frame::c_string(body, 0).filter(|(_, end)| *end == body.len()) else {
             return self.end_with("08P01", "a query with no end, or more behind it");
         };
         let Ok(text) = std::str::from_utf8(text) else {
@@ -413,10 +413,12 @@
         if text.trim().is_empty() {
             let mut reply = Vec::new();
             match self.shared.ready.load(Acquire) {
-                true => say::empty(&mut reply),
-                false => say::error(&mut reply, false, "57P03", "no list of hosts is known yet", ""),
+                true => encode::empty_query_response(&mut reply),
+                false => {
+                    encode::error_response(&mut reply, false, "57P03", "no list of hosts is known yet", "")
+                }
             }
-            reply.extend_from_slice(&say::READY);
+            reply.extend_from_slice(&encode::READY_FOR_QUERY);
             return self.reply(reply);
         }
         let facts = match self.names.admit(text) {
@@ -467,15 +469,15 @@
             return self.end_with(code, line);
         }
         let mut reply = Vec::new();
-        say::error(&mut reply, false, code, line, "");
-        reply.extend_from_slice(&say::READY);
+        encode::error_response(&mut reply, false, code, line, "");
+        reply.extend_from_slice(&encode::READY_FOR_QUERY);
         self.reply(reply)
     }
 
     /// Says what is wrong where the stream can't be followed any further.
     fn end_with(&mut self, code: &str, line: &str) -> Result<(), Over> {
         let mut reply = Vec::new();
-        say::error(&mut reply, true, code, line, "");
+        encode::error_response(&mut reply, true, code, line, "");
         self.reply(reply)?;
         Err(Told)
     }
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -17,7 +17,7 @@
 use magpiewell::policy::Policy;
 use magpiewell::{Arrival, Ending, Level, OpId, Outbox, PeerFact, Terms};
 use magpiewell_facts::Observation;
-use magpiewell_pg::say;
+use magpiewell_pg::encode;
 use magpiewell_terms::settings::Fields;
 use serde_json::Value;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -102,7 +102,7 @@
         self.open.remove(&o.name);
         let mut bytes = Vec::new();
         fill(&mut bytes);
-        bytes.extend_from_slice(&say::READY);
+        bytes.extend_from_slice(&encode::READY_FOR_QUERY);
         let held = self.shared.keep(bytes.len());
         o.client.answer(o.seq, bytes, held);
         // Ops given up on a beat end here: kept, each would hold its client for ever.
@@ -149,13 +149,15 @@
         if let Some(o) = self.ops.get(&op) {
             o.client.told.store((self.shared.clock.now() + retry_ms) as u64, Relaxed);
         }
-        let said = self.answer(op, |to| say::error(to, false, "53300", "busy, try again", &detail));
+        let said =
+            self.answer(op, |to| encode::error_response(to, false, "53300", "busy, try again", &detail));
         self.counts.busy += u64::from(said);
         self.shared.refused.fetch_add(usize::from(said), Relaxed);
     }
 
     fn error_reply(&mut self, op: OpId) {
-        let said = self.answer(op, |to| say::error(to, false, "58000", "no host has answered", ""));
+        let said =
+            self.answer(op, |to| encode::error_response(to, false, "58000", "no host has answered", ""));
         self.counts.errored += u64::from(said);
     }
 
@@ -371,8 +373,8 @@
                 if !self.outbox.open.insert(facts.id) {
                     // Another op has this id: one of the two could be taken for the other by hosts.
                     let mut bytes = Vec::new();
-                    say::error(&mut bytes, false, "55006", "an open op has this id", "");
-                    bytes.extend_from_slice(&say::READY);
+                    encode::error_response(&mut bytes, false, "55006", "an open op has this id", "");
+                    bytes.extend_from_slice(&encode::READY_FOR_QUERY);
                     let held = self.outbox.shared.keep(bytes.len());
                     client.answer(seq, bytes, held);
                     return;
--- a/crates/router/src/send.rs
+++ b/crates/router/src/send.rs
@@ -7,7 +7,7 @@
 use crate::probe;
 use crate::shared::Shared;
 use magpiewell::Ending;
-use magpiewell_pg::{frame, say, shape};
+use magpiewell_pg::{encode, frame, validate};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::io::{ErrorKind, Read};
 use std::mem::MaybeUninit;
@@ -250,7 +250,7 @@
         let fresh = std::mem::replace(&mut self.fresh, false);
         let mut opening = Vec::new();
         if fresh {
-            say::startup(&mut opening, USER, DATABASE);
+            encode::startup_message(&mut opening, USER, DATABASE);
         }
         self.buf.clear();
         self.came = 0;
@@ -268,7 +268,7 @@
             Work::Op(s) => (&s.text[..s.wait_at.start], &s.text[s.wait_at.end..]),
             Work::Probe => (probe::ASK, &b""[..]),
         };
-        let head = say::query_head(before.len() + wait.len() + behind.len());
+        let head = encode::query_header(before.len() + wait.len() + behind.len());
         let parts = [&opening, &head[..], before, wait.as_bytes(), behind, &[0]];
         let mut taken = match self.line.write(&self.stream, &parts) {
             Some(Ok(taken)) => taken,
@@ -399,9 +399,9 @@
         // time.
         let rest = buf.get(5..).unwrap_or_default();
         let sound = frame::length_at(buf, 1).is_none_or(|length| {
-            shape::may_begin(buf[0], length, &rest[..rest.len().min(length.saturating_sub(4))])
+            validate::is_valid_prefix(buf[0], length, &rest[..rest.len().min(length.saturating_sub(4))])
         });
-        if !sound || buf.first().is_some_and(|kind| !shape::is_kind(*kind)) {
+        if !sound || buf.first().is_some_and(|kind| !validate::is_known_kind(*kind)) {
             reading.spoil();
             break;
         }
--- a/crates/router/src/send/tests.rs
+++ b/crates/router/src/send/tests.rs
@@ -138,13 +138,13 @@
     let (shared, line) = (empty(), Arc::<Line>::default());
     let (mut connection, mut host) = carrying(write_of(&shared, 100), &line);
     let mut said = Vec::new();
-    say::welcome(&mut said);
+    encode::startup_reply(&mut said);
     let message =
         |kind: u8, body: &[u8]| [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat();
     said.extend(message(b'T', &[&[0, 1][..], b"v\0", &[0; 18]].concat()));
     said.extend(message(b'D', &[0, 1, 0, 0, 0, 1, b'w']));
     said.extend(message(b'C', b"INSERT 0 1\0"));
-    said.extend(say::READY);
+    said.extend(encode::READY_FOR_QUERY);
     host.write_all(&said).unwrap();
     while connection.stream.peek(&mut [0; 512]).map_or(true, |n| n < said.len()) {}
     assert_eq!(line.call_back(CallBack::All), CalledBack::BrokenOff);
--- a/crates/router/tests/router/moments.rs
+++ b/crates/router/tests/router/moments.rs
@@ -54,7 +54,7 @@
     use std::io::Write;
     let mut to = from.stream.try_clone().unwrap();
     let mut admits = Vec::new();
-    magpiewell_pg::say::welcome(&mut admits);
+    magpiewell_pg::encode::startup_reply(&mut admits);
     drop(to.write_all(&admits));
     while let Some((b'Q', _)) = from.next() {
         drop(to.write_all(&served("late", "reader")));
@@ -328,7 +328,7 @@
                     return;
                 }
                 let mut admits = Vec::new();
-                magpiewell_pg::say::welcome(&mut admits);
+                magpiewell_pg::encode::startup_reply(&mut admits);
                 from.stream.write_all(&admits).unwrap();
                 if from.next().is_some() {
                     act(from.stream);
--- a/crates/router/tests/router/service.rs
+++ b/crates/router/tests/router/service.rs
@@ -1,7 +1,7 @@
 //! What the router does in daily use, and with what is wrong.
 
 use crate::stand_in::*;
-use magpiewell_pg::say;
+use magpiewell_pg::encode;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -63,7 +63,7 @@
         std::io::Read::read_exact(&mut client.0.stream, &mut no).unwrap();
         assert_eq!(&no, b"N");
         let mut opening = Vec::new();
-        say::startup(&mut opening, "svc", "main");
+        encode::startup_message(&mut opening, "svc", "main");
         client.write(&opening);
         assert_eq!(client.answer(), Some(Answer::default()));
     }
@@ -89,7 +89,7 @@
         ("closed inside the answer", || Act::End(row("v")[..20].to_vec()), "58000"),
         ("nothing", || Act::Silence, "58000"),
         ("a second row", || Act::Say([tagged("v", "INSERT 0 1"), written("w")].concat()), "58000"),
-        ("no row", || Act::Say(say::READY.to_vec()), "58000"),
+        ("no row", || Act::Say(encode::READY_FOR_QUERY.to_vec()), "58000"),
         ("no protocol", || Act::Say(vec![b'D', 0, 0, 0, 1, 7]), "58000"),
     ];
     for (what, act, expected) in rows {
@@ -256,7 +256,7 @@
     assert!((2..60).contains(&answers.count()));
     // A group that no list has named: nothing was sent, so trying again is harmless.
     assert_eq!(code(&client.ask(&good.replace("cluster=3", "cluster=9"))), "53300");
-    client.write(&[&say::query_head(2)[..], &[0xc3, 0x28, 0]].concat());
+    client.write(&[&encode::query_header(2)[..], &[0xc3, 0x28, 0]].concat());
     assert_eq!(code(&client.answer().unwrap()), "22021");
     // Extended messages: an error, and nothing more until the next sync.
     client.write(&[b'P', 0, 0, 0, 4, b'B', 0, 0, 0, 4, b'S', 0, 0, 0, 4]);
@@ -305,7 +305,7 @@
     }
     // A message too long to be taken is refused on its head, and its writer still reads why.
     let mut endless = Client::open(router.addr);
-    endless.write(&[&say::query_head(60 << 20)[..], &[b'x'; 100_000]].concat());
+    endless.write(&[&encode::query_header(60 << 20)[..], &[b'x'; 100_000]].concat());
     assert_eq!(code(&endless.answer().unwrap()), "08P01");
 }
 
--- a/crates/router/tests/stand_in/mod.rs
+++ b/crates/router/tests/stand_in/mod.rs
@@ -1,6 +1,6 @@
 //! Stand-ins on loopback: scripted hosts, a list, a client, and a router process to put between them.
 
-use magpiewell_pg::{frame, say};
+use magpiewell_pg::{encode, frame};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -99,12 +99,13 @@
 
 /// A served answer with what stands beside it.
 pub fn served(value: &str, role: &str) -> Vec<u8> {
-    [row(value), parameter("server_role", role), say::READY.to_vec()].concat()
+    [row(value), parameter("server_role", role), encode::READY_FOR_QUERY.to_vec()].concat()
 }
 
 /// The same for a write.
 pub fn written(value: &str) -> Vec<u8> {
-    [tagged(value, "INSERT 0 1"), parameter("server_role", "writer"), say::READY.to_vec()].concat()
+    [tagged(value, "INSERT 0 1"), parameter("server_role", "writer"), encode::READY_FOR_QUERY.to_vec()]
+        .concat()
 }
 
 /// Bytes with the first of these replaced.
@@ -115,8 +116,8 @@
 
 pub fn refused(code: &str) -> Vec<u8> {
     let mut said = Vec::new();
-    say::error(&mut said, false, code, "scripted", "");
-    [said, say::READY.to_vec()].concat()
+    encode::error_response(&mut said, false, code, "scripted", "");
+    [said, encode::READY_FOR_QUERY.to_vec()].concat()
 }
 
 /// What a scripted host does with a query.
@@ -162,7 +163,7 @@
         return;
     }
     let mut admits = Vec::new();
-    say::welcome(&mut admits);
+    encode::startup_reply(&mut admits);
     let mut to = from.stream.try_clone().unwrap();
     to.write_all(&admits).unwrap();
     while let Some((b'Q', body)) = from.next() {
@@ -417,7 +418,7 @@
     pub fn connect(addr: SocketAddr, commands: &[u8]) -> Client {
         let mut client = Client(Messages::new(TcpStream::connect(addr).unwrap()));
         let mut bytes = Vec::new();
-        say::startup(&mut bytes, "svc", "main");
+        encode::startup_message(&mut bytes, "svc", "main");
         bytes.extend_from_slice(commands);
         client.write(&bytes);
         client
@@ -434,7 +435,7 @@
             let text = |b: &[u8]| Some(String::from_utf8_lossy(b).into_owned());
             match self.0.next()? {
                 (b'Z', _) => return Some(answer),
-                (b'D', body) => answer.value = text(frame::column(&body).unwrap()),
+                (b'D', body) => answer.value = text(frame::first_column(&body).unwrap()),
                 (b'E', body) => {
                     answer.code = text(frame::error_field(&body, b'C').unwrap());
                     answer.detail = frame::error_field(&body, b'D').and_then(text);
@@ -462,7 +463,7 @@
 }
 
 pub fn query(text: &str) -> Vec<u8> {
-    [&say::query_head(text.len())[..], text.as_bytes(), &[0]].concat()
+    [&encode::query_header(text.len())[..], text.as_bytes(), &[0]].concat()
 }
 
 /// No two ops that are open at once may have the same.
