--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -3,7 +3,7 @@
 use crate::wire::{self, Reply, action, event};
 use magpiewell::policy::Policy;
 use magpiewell::{Arrival, Ending, Entry, OpId, Outbox, Phase, Role};
-use magpiewell_terms::settings::{self, Fields};
+use magpiewell_terms::settings::{self, AdapterOptions};
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -93,7 +93,7 @@
 
 pub struct Instance {
     router: u32,
-    fields: Fields,
+    fields: AdapterOptions,
     door: Door,
     policy: Policy,
 }
@@ -106,7 +106,7 @@
         text: &[u8],
         reply: &mut Reply,
     ) -> Result<Instance, String> {
-        let (terms, fields) = settings::read(text)?;
+        let (terms, fields) = settings::parse(text)?;
         let door = Door::default();
         let policy = Policy::new(terms, seed, now, &mut Actions { router, door: &door, reply });
         Ok(Instance { router, fields, door, policy })
@@ -190,14 +190,14 @@
     fn arrived(&mut self, now: f64, record: &[u8], reply: &mut Reply) {
         let (op, kind) = (wire::u64_at(record, 5), wire::u16_at(record, 13) as usize);
         let out = &mut Actions { router: self.router, door: &self.door, reply };
-        let Some(&timeout) = self.fields.timeout_ms.get(kind) else {
+        let Some(&timeout) = self.fields.op_timeouts_ms.get(kind) else {
             return out.error_reply(op);
         };
         let attrs = record[51];
         let work = if attrs & 1 != 0 { wire::f64_at(record, 35) * 1000.0 } else { 0.0 };
-        let since = self.fields.carried.then(|| wire::f32_at(record, 47) as f64);
+        let since = self.fields.clients_report_writes.then(|| wire::f32_at(record, 47) as f64);
         let group = wire::f32_at(record, 43).clamp(0.0, u16::MAX as f32) as usize;
-        let longer = if work > 0.0 { self.fields.stretch[kind] * work } else { 0.0 };
+        let longer = if work > 0.0 { self.fields.target_growth[kind] * work } else { 0.0 };
         let facts = Arrival {
             id: op,
             kind,
@@ -206,7 +206,7 @@
             session: wire::u64_at(record, 19),
             patience: wire::f64_at(record, 27) * 1000.0,
             since_write: since,
-            repeat: self.fields.marks_repeats.then_some(attrs & 2 != 0),
+            repeat: self.fields.clients_mark_retries.then_some(attrs & 2 != 0),
             longer,
             op_timeout: timeout,
         };
@@ -220,7 +220,7 @@
             REPLICA => Some(Role::Replica),
             _ => None,
         };
-        let pos = (stamp / 4 > 0).then_some(self.fields.origin_ms + (stamp / 4) as f64);
+        let pos = (stamp / 4 > 0).then_some(self.fields.position_origin_ms + (stamp / 4) as f64);
         if role.is_some() || pos.is_some() {
             self.policy.told(now, host, role, pos, true);
         }
@@ -232,9 +232,9 @@
             place.filter(|p| *p < (field[0] as usize).min(4)).map(|p| wire::f32_at(field, 1 + 4 * p))
         };
         // The next lower value is surely no later than what the host meant.
-        let pos =
-            value(self.fields.report_pos).map(|x| self.fields.origin_ms + x.next_down() as f64 * 1000.0);
-        let role = value(self.fields.report_role);
+        let pos = value(self.fields.report_position_index)
+            .map(|x| self.fields.position_origin_ms + x.next_down() as f64 * 1000.0);
+        let role = value(self.fields.report_role_index);
         let role = role.map(|x| if x >= 0.5 { Role::Primary } else { Role::Replica });
         if role.is_some() || pos.is_some() {
             self.policy.told(now, host, role, pos, false);
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -4,7 +4,7 @@
 use super::plan::{Member, Plan};
 use magpiewell_facts::Observation;
 use magpiewell_peers::Key;
-use magpiewell_terms::tier::TierTerms;
+use magpiewell_terms::tier::TierOptions;
 use magpiewell_tier::{Identity, PeerFact, Sent, Tier};
 use std::time::Duration;
 
@@ -48,8 +48,8 @@
 }
 
 /// Reads the template as a real router does.
-pub fn read_template(plan: &Plan) -> Result<TierTerms, String> {
-    magpiewell_terms::tier::read(&plan.template)?
+pub fn read_template(plan: &Plan) -> Result<TierOptions, String> {
+    magpiewell_terms::tier::parse(&plan.template)?
         .ok_or_else(|| "the template says that the tier is off".into())
 }
 
@@ -67,7 +67,7 @@
 impl HollowRouter {
     /// A router that starts at this Unix time in ms. Refused where the tier takes fewer members than the
     /// plan has.
-    pub fn new(plan: &Plan, terms: &TierTerms, member: Member, now: f64) -> Result<HollowRouter, String> {
+    pub fn new(plan: &Plan, terms: &TierOptions, member: Member, now: f64) -> Result<HollowRouter, String> {
         let members = plan.members();
         let zone = Some(plan.zone(member) as u8);
         let key = terms.key.as_deref().map(Key::new);
--- a/crates/router/src/admit.rs
+++ b/crates/router/src/admit.rs
@@ -1,7 +1,7 @@
 //! Admits statements: finds their facts and maps names to small numbers.
 
 use magpiewell_pg::statement;
-use magpiewell_terms::settings::Fields;
+use magpiewell_terms::settings::AdapterOptions;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::ops::Range;
@@ -35,15 +35,15 @@
 }
 
 impl Names {
-    pub fn new(fields: &Fields, wait_most_ms: f64) -> Names {
+    pub fn new(fields: &AdapterOptions, wait_most_ms: f64) -> Names {
         let index = |names: &[String]| names.iter().cloned().zip(0..).collect();
         Names {
-            types: index(&fields.type_names),
+            types: index(&fields.op_type_names),
             tenants: index(&fields.tenant_names),
-            sessions: fields.sessions.clone(),
-            writes: fields.writes.clone(),
-            tokened: fields.tokened.clone(),
-            marks_repeats: fields.marks_repeats,
+            sessions: fields.has_session.clone(),
+            writes: fields.is_write.clone(),
+            tokened: fields.is_tokened.clone(),
+            marks_repeats: fields.clients_mark_retries,
             wait_most_ms,
         }
     }
--- a/crates/router/src/client_loop/tests.rs
+++ b/crates/router/src/client_loop/tests.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 fn clients() -> (ClientLoop, std::net::SocketAddr) {
-    let start = magpiewell_terms::start::read(START).unwrap().0;
-    let names = Arc::new(Names::new(&start.fields, 1.0));
+    let start = magpiewell_terms::startup::parse(START).unwrap().0;
+    let names = Arc::new(Names::new(&start.adapter_options, 1.0));
     let poll = Poll::new().unwrap();
     let wake = mio::Waker::new(poll.registry(), WAKE).unwrap();
     let (wakeups, look) = crossbeam_channel::unbounded();
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -24,8 +24,8 @@
 mod timers;
 
 use crossbeam_channel::{bounded, unbounded};
-use magpiewell_terms::start::{self, Start};
-use magpiewell_terms::tier::TierTerms;
+use magpiewell_terms::startup::{self, StartupOptions};
+use magpiewell_terms::tier::TierOptions;
 use serde_json::Value;
 pub use shared::Staged;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -45,11 +45,11 @@
 }
 
 /// The settings of the tier, checked; none where there are none, or they say that it is off.
-fn read_tier(options: &Options) -> Result<Option<TierTerms>, String> {
+fn read_tier(options: &Options) -> Result<Option<TierOptions>, String> {
     let Some(path) = &options.tier else { return Ok(None) };
     let named = |why: String| format!("{}: {}", path.display(), why.replace("settings key", "key"));
     let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-    magpiewell_terms::tier::read(&text).map_err(named)
+    magpiewell_terms::tier::parse(&text).map_err(named)
 }
 
 fn listen(at: SocketAddr, limits: &limits::Limits) -> Result<TcpListener, String> {
@@ -68,19 +68,19 @@
 }
 
 fn log_level() -> Result<tracing::Level, String> {
-    match std::env::var(start::LOG_VARIABLE) {
-        Ok(level) => level.parse().map_err(|_| format!("{} says '{level}'", start::LOG_VARIABLE)),
+    match std::env::var(startup::LOG_LEVEL_VARIABLE) {
+        Ok(level) => level.parse().map_err(|_| format!("{} says '{level}'", startup::LOG_LEVEL_VARIABLE)),
         Err(_) => Ok(tracing::Level::INFO),
     }
 }
 
 /// Reads the file and checks all of it: what it says, and what it says as JSON.
-fn read_start() -> Result<(Start, Value), String> {
-    let path =
-        std::env::var(start::FILE_VARIABLE).map_err(|_| format!("{} is not set", start::FILE_VARIABLE))?;
+fn read_start() -> Result<(StartupOptions, Value), String> {
+    let path = std::env::var(startup::CONFIG_FILE_VARIABLE)
+        .map_err(|_| format!("{} is not set", startup::CONFIG_FILE_VARIABLE))?;
     let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
-    let (start, whole) = start::read(&text).map_err(|e| format!("{path}: {e}"))?;
-    if let Some(known) = &start.known {
+    let (start, whole) = startup::parse(&text).map_err(|e| format!("{path}: {e}"))?;
+    if let Some(known) = &start.last_known_list {
         list::entries(known, &[], |_, _, _, _| ()).map_err(|e| format!("key 'known': {e}"))?;
     }
     Ok((start, whole))
@@ -91,9 +91,9 @@
     match read_start() {
         Err(why) => tracing::warn!(%why, "configuration refused, the old one stays"),
         Ok((start, new)) => {
-            let restart = start::needs_restart(now, &new);
-            tracing::info!(list = %start.list_at, ?restart, "configuration read anew");
-            if !watches.follow(start.list_at, None) {
+            let restart = startup::keys_requiring_restart(now, &new);
+            tracing::info!(list = %start.list_addr, ?restart, "configuration read anew");
+            if !watches.follow(start.list_addr, None) {
                 tracing::warn!("no thread for the list: the old address stays");
             }
         }
@@ -153,7 +153,7 @@
         std::process::exit(101);
     }));
     let limits = limits::Limits::new(&start);
-    let listener = listen(start.listen, &limits)?;
+    let listener = listen(start.listen_addr, &limits)?;
     let listen = listener.local_addr().map_err(|e| e.to_string())?;
     tracing::info!(name = start.name, %listen, ?limits, "started");
 
@@ -177,17 +177,17 @@
         );
     }
     let (peers, observations) = peers.unzip();
-    let names = Arc::new(admit::Names::new(&start.fields, shared.limits.wait_most_ms));
+    let names = Arc::new(admit::Names::new(&start.adapter_options, shared.limits.wait_most_ms));
     let mut router = route::Router::new(
         shared.clone(),
         start.terms,
-        &start.fields,
+        &start.adapter_options,
         start.seed,
         ask_list,
         orders,
         observations,
     );
-    if let Some(known) = &start.known {
+    if let Some(known) = &start.last_known_list {
         router.list(known, true);
         tracing::info!("ready with the list as last known");
     }
@@ -202,7 +202,7 @@
         shared.spawn("peers", move || peers.run()).ok_or(none)?;
     }
     let clients = shared.spawn("clients", move || client_loop.run()).ok_or(none)?;
-    if !watches.follow(start.list_at, start.known.as_ref()) {
+    if !watches.follow(start.list_addr, start.last_known_list.as_ref()) {
         return Err(none.into());
     }
     let reloads = Arc::new(Reloads { watches, whole, asked: AtomicUsize::new(0) });
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,6 +1,6 @@
 //! All sizes, counts and times of the router, filled at start and handed down.
 
-use magpiewell_terms::start::Start;
+use magpiewell_terms::startup::StartupOptions;
 use std::time::Duration;
 
 /// What a silent watch of the list misses counts as told after this time, or two seconds after its wait is over if
@@ -113,15 +113,15 @@
 }
 
 impl Limits {
-    pub fn new(start: &Start) -> Limits {
+    pub fn new(start: &StartupOptions) -> Limits {
         let memory = start.memory_mb * 1024.0 * 1024.0;
         // Spare descriptors: the router's own, and clients just being closed.
-        let leaving = start.sockets / 16 + 8;
-        let sockets = start.sockets - leaving - OWN_DESCRIPTORS;
+        let leaving = start.max_sockets / 16 + 8;
+        let sockets = start.max_sockets - leaving - OWN_DESCRIPTORS;
         // A client takes its buffers, seldom all of them; a quarter of the memory is theirs.
         let clients = (sockets * 2 / 3).min((memory / 4.0 / (16.0 * 1024.0)) as usize).max(8);
         // The platform grants the longest wait of an op, of 3 s at most, and 0.7 s more.
-        let longest = start.fields.timeout_ms.iter().fold(0.0f64, |a, b| a.max(*b));
+        let longest = start.adapter_options.op_timeouts_ms.iter().fold(0.0f64, |a, b| a.max(*b));
         let stop = longest.min(3000.0) / 1000.0 + 0.7 - 0.2;
         Limits {
             cores: start.cores,
@@ -146,7 +146,7 @@
             faults: 16,
             opening_ms: 1_200.0,
             command_ms: 1_500.0,
-            crowd: start.sockets / 8,
+            crowd: start.max_sockets / 8,
             idle_ms: 2_050.0,
             silent_ms: 20.0,
             drain_bytes: 256 * 1024,
@@ -158,10 +158,10 @@
             idle_beat_ms: 45.0,
             rest_ms: 3.0,
             tidy_ms: 1_000.0,
-            host_idle: Duration::from_secs_f64(start.fields.conn_idle_ms * 0.75 / 1000.0),
+            host_idle: Duration::from_secs_f64(start.adapter_options.conn_idle_timeout_ms * 0.75 / 1000.0),
             idle_check: Duration::from_secs(1),
-            dial_ms: start.fields.dial_ms,
-            probe_ms: start.fields.dial_ms,
+            dial_ms: start.adapter_options.connect_timeout_ms,
+            probe_ms: start.adapter_options.connect_timeout_ms,
             list_wait_ms: (LIST_SILENT_MS - 4.0 * LIST_SLACK_MS) as u64,
             list_slack: Duration::from_secs_f64(LIST_SLACK_MS / 1000.0),
             list_pause: Duration::from_millis(100),
--- a/crates/router/src/limits/tests.rs
+++ b/crates/router/src/limits/tests.rs
@@ -8,7 +8,7 @@
     let start = start.replace(r#""classes":[]"#, &class);
     let levels = r#""read_level":["any"],"staleness_bound_s":[0]"#;
     let start = start.replace(r#""read_level":[],"staleness_bound_s":[]"#, levels);
-    Limits::new(&magpiewell_terms::start::read(start.as_bytes()).unwrap().0)
+    Limits::new(&magpiewell_terms::startup::parse(start.as_bytes()).unwrap().0)
 }
 
 /// The platform sends clients for 0.4 s after a request to stop, and ends the process no sooner than the longest op
@@ -50,7 +50,7 @@
         let start = String::from_utf8(START.to_vec()).unwrap();
         let start = start.replace(r#""sockets":256"#, &format!(r#""sockets":{sockets}"#));
         let start = start.replace(r#""memory_mb":32"#, r#""memory_mb":100000"#);
-        let l = Limits::new(&magpiewell_terms::start::read(start.as_bytes()).unwrap().0);
+        let l = Limits::new(&magpiewell_terms::startup::parse(start.as_bytes()).unwrap().0);
         let all = l.clients + l.leaving + l.host_connections + OWN_DESCRIPTORS;
         assert!(all <= sockets, "{all} of {sockets}");
     }
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -18,7 +18,7 @@
 use magpiewell::{Arrival, Ending, Level, OpId, Outbox, PeerFact, Terms};
 use magpiewell_facts::Observation;
 use magpiewell_pg::encode;
-use magpiewell_terms::settings::Fields;
+use magpiewell_terms::settings::AdapterOptions;
 use serde_json::Value;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -211,7 +211,7 @@
     pub fn new(
         shared: Arc<Shared>,
         terms: Terms,
-        fields: &Fields,
+        fields: &AdapterOptions,
         seed: u64,
         ask_list: Sender<()>,
         orders: Orders,
@@ -234,8 +234,8 @@
         let bounded = terms.op_types.iter().filter(|t| t.level == Level::Bounded).map(|t| t.bound_ms);
         let observer = Observer::new(bounded.reduce(f64::min));
         let policy = Policy::new(terms, seed, now, &mut outbox);
-        let (timeouts_ms, zones) = (fields.timeout_ms.clone(), fields.zone_names.clone());
-        let carried = fields.carried;
+        let (timeouts_ms, zones) = (fields.op_timeouts_ms.clone(), fields.zone_names.clone());
+        let carried = fields.clients_report_writes;
         let (next_op, tidy_at, groups) = (0, now, HashMap::new());
         Router {
             policy,
--- a/crates/router/src/route/tests.rs
+++ b/crates/router/src/route/tests.rs
@@ -12,12 +12,13 @@
         r#""read_level":[],"staleness_bound_s":[]"#,
         r#""read_level":["any"],"staleness_bound_s":[0]"#,
     );
-    let start = magpiewell_terms::start::read(start.as_bytes()).unwrap().0;
-    let names = Names::new(&start.fields, 1_000.0);
+    let start = magpiewell_terms::startup::parse(start.as_bytes()).unwrap().0;
+    let names = Names::new(&start.adapter_options, 1_000.0);
     let shared = empty();
     let (_hosts, orders) = crate::hosts::new(&shared, crossbeam_channel::unbounded().0).unwrap();
     let ask_list = crossbeam_channel::bounded(1).0;
-    let mut router = Router::new(shared.clone(), start.terms, &start.fields, 1, ask_list, orders, None);
+    let mut router =
+        Router::new(shared.clone(), start.terms, &start.adapter_options, 1, ask_list, orders, None);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for (no, left) in [(7, true), (8, false)] {
         let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -184,7 +184,7 @@
 /// The same with other limits.
 #[cfg(test)]
 pub fn with(change: impl FnOnce(&mut Limits)) -> Arc<Shared> {
-    let mut limits = Limits::new(&magpiewell_terms::start::read(crate::limits::START).unwrap().0);
+    let mut limits = Limits::new(&magpiewell_terms::startup::parse(crate::limits::START).unwrap().0);
     change(&mut limits);
     let poll = mio::Poll::new().unwrap();
     let waker = Waker::new(poll.registry(), mio::Token(0)).unwrap();
--- a/crates/router/src/tier.rs
+++ b/crates/router/src/tier.rs
@@ -6,8 +6,8 @@
 use crossbeam_channel::{Receiver, Sender};
 use magpiewell_facts::{Observation, Sizes};
 use magpiewell_peers::Key;
-use magpiewell_terms::start::Start;
-use magpiewell_terms::tier::TierTerms;
+use magpiewell_terms::startup::StartupOptions;
+use magpiewell_terms::tier::TierOptions;
 use magpiewell_tier::{Dropped, Identity, Limits, Output, Sent, Tier, ZoneChange};
 use magpiewell_zones::Reachability;
 use mio::net::UdpSocket;
@@ -63,11 +63,11 @@
 pub fn new(
     shared: &Arc<Shared>,
     events: Sender<Event>,
-    start: &Start,
-    terms: &TierTerms,
+    start: &StartupOptions,
+    terms: &TierOptions,
 ) -> Result<Option<(Peers, ObservationSender)>, String> {
     let Some(roster) = start.roster.clone()? else { return Ok(None) };
-    let listen = roster.listen;
+    let listen = roster.listen_addr;
     let open = || {
         let poll = Poll::new()?;
         let mut socket = UdpSocket::bind(listen)?;
@@ -82,10 +82,10 @@
     let zone = u8::try_from(start.terms.zone).ok();
     let started = shared.clock.now().max(0.0) as u64;
     let key = terms.key.as_deref().map(Key::new);
-    let identity = Identity { local: roster.me, roster_size: roster.peers.len(), zone, started };
+    let identity = Identity { local: roster.local, roster_size: roster.addrs.len(), zone, started };
     let tier = Tier::new(identity, start.seed, key, limits).map_err(|e| format!("'peers': {e}"))?;
-    let numbers = roster.peers.iter().copied().zip(0..).collect();
-    let (shared, peers) = (shared.clone(), roster.peers);
+    let numbers = roster.addrs.iter().copied().zip(0..).collect();
+    let (shared, peers) = (shared.clone(), roster.addrs);
     let dropped = Dropped::default();
     let peers = Peers {
         shared,
@@ -104,19 +104,19 @@
 }
 
 /// The limits of a tier whose template says this, and whose time is advanced so often.
-pub fn limits(terms: &TierTerms, tick: Duration) -> Limits {
+pub fn limits(terms: &TierOptions, tick: Duration) -> Limits {
     let mut limits = Limits {
-        fanout: terms.fan,
-        urgent_burst: terms.burst,
-        urgent_per_second: terms.refill,
-        unresponsive_quorum: terms.silent,
+        fanout: terms.fanout,
+        urgent_burst: terms.urgent_burst,
+        urgent_per_second: terms.urgent_per_second,
+        unresponsive_quorum: terms.unresponsive_quorum,
         zone_evidence: terms.zone_evidence,
         pull_facts: terms.pull_facts,
-        pull_period: terms.period_ms / PULLS_PER_PROBE_PERIOD,
+        pull_period: terms.probe_period_ms / PULLS_PER_PROBE_PERIOD,
         ..Limits::default()
     };
-    limits.members.probe_period = terms.period_ms;
-    limits.members.ack_timeout = terms.period_ms / ACK_TIMEOUTS_PER_PROBE_PERIOD;
+    limits.members.probe_period = terms.probe_period_ms;
+    limits.members.ack_timeout = terms.probe_period_ms / ACK_TIMEOUTS_PER_PROBE_PERIOD;
     limits.members.pause_threshold = tick.as_secs_f64() * 1_000.0 * TICKS_OF_A_PAUSE;
     limits
 }
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -1,7 +1,7 @@
 //! The one place where configuration is read, checked and given defaults; errors name the faulty key.
 
 pub mod settings;
-pub mod start;
+pub mod startup;
 pub mod tier;
 
 use serde_json::Value;
--- a/crates/terms/src/settings.rs
+++ b/crates/terms/src/settings.rs
@@ -5,29 +5,29 @@
 use serde_json::Value;
 
 /// What is needed at the door, beside the module's own terms.
-pub struct Fields {
-    pub origin_ms: f64,
-    pub carried: bool,
-    pub marks_repeats: bool,
+pub struct AdapterOptions {
+    pub position_origin_ms: f64,
+    pub clients_report_writes: bool,
+    pub clients_mark_retries: bool,
     /// Places of position and role among a report's values.
-    pub report_pos: Option<usize>,
-    pub report_role: Option<usize>,
+    pub report_position_index: Option<usize>,
+    pub report_role_index: Option<usize>,
     /// The zones that routers are in, by number.
     pub zone_names: Vec<String>,
     /// Per op type: how much the target grows with an op's work, and the longest wait, in ms.
-    pub stretch: Vec<f64>,
-    pub timeout_ms: Vec<f64>,
+    pub target_growth: Vec<f64>,
+    pub op_timeouts_ms: Vec<f64>,
     /// Names by which ops state their type and their tenant, by index.
-    pub type_names: Vec<String>,
+    pub op_type_names: Vec<String>,
     pub tenant_names: Vec<String>,
     /// Per op type: its ops belong to sessions.
-    pub sessions: Vec<bool>,
+    pub has_session: Vec<bool>,
     /// Per op type: it writes; its ops carry a token against repeats.
-    pub writes: Vec<bool>,
-    pub tokened: Vec<bool>,
+    pub is_write: Vec<bool>,
+    pub is_tokened: Vec<bool>,
     /// Hosts close connections idle for so long; and how long a connection may take to open.
-    pub conn_idle_ms: f64,
-    pub dial_ms: f64,
+    pub conn_idle_timeout_ms: f64,
+    pub connect_timeout_ms: f64,
 }
 
 fn op_type(class: &Value, level: &Value, bound: f64) -> Result<(OpTypeFacts, f64, f64), String> {
@@ -64,13 +64,13 @@
 }
 
 /// Reads them from text.
-pub fn read(text: &[u8]) -> Result<(Terms, Fields), String> {
+pub fn parse(text: &[u8]) -> Result<(Terms, AdapterOptions), String> {
     let root: Value = serde_json::from_slice(text).map_err(|e| format!("settings are not JSON: {e}"))?;
-    read_keys(&root)
+    parse_value(&root)
 }
 
 /// Reads them where they stand inside something larger.
-pub fn read_keys(root: &Value) -> Result<(Terms, Fields), String> {
+pub fn parse_value(root: &Value) -> Result<(Terms, AdapterOptions), String> {
     let classes = need(root, "classes", Value::as_array)?;
     let levels = need(root, "extra.read_level", Value::as_array)?;
     let bounds = need(root, "extra.staleness_bound_s", Value::as_array)?;
@@ -79,16 +79,16 @@
             "settings keys 'extra.read_level', 'extra.staleness_bound_s' don't match 'classes'".into()
         );
     }
-    let (mut op_types, mut stretch, mut timeout_ms) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut op_types, mut target_growth, mut op_timeouts_ms) = (Vec::new(), Vec::new(), Vec::new());
     for ((class, level), bound) in classes.iter().zip(levels).zip(bounds) {
         let bound = bound.as_f64().ok_or("settings key 'extra.staleness_bound_s' has the wrong type")?;
-        let (facts, longer, timeout) = op_type(class, level, bound)?;
+        let (facts, growth, timeout) = op_type(class, level, bound)?;
         op_types.push(facts);
-        stretch.push(longer);
-        timeout_ms.push(timeout);
+        target_growth.push(growth);
+        op_timeouts_ms.push(timeout);
     }
     let name = |value: &Value| may(value, "name", Value::as_str, "").map(str::to_string);
-    let type_names = classes.iter().map(name).collect::<Result<_, _>>()?;
+    let op_type_names = classes.iter().map(name).collect::<Result<_, _>>()?;
     let (mut tenant_rates, mut tenant_names) = (Vec::new(), Vec::new());
     let none = Vec::new();
     for tenant in may(root, "tenants", Value::as_array, &none)? {
@@ -131,22 +131,26 @@
     let place = |name: &str| -> Option<usize> {
         at(root, "report.fields")?.as_array()?.iter().position(|field| field.as_str() == Some(name))
     };
-    let fields = Fields {
-        origin_ms: may(root, "extra.origin_time_s", Value::as_f64, 0.0)? * 1000.0,
-        carried: !terms.remember_writes,
-        marks_repeats: may(root, "clients.marks_retry", Value::as_bool, false)?,
-        report_pos: place("x0"),
-        report_role: place("x1"),
+    let adapter_options = AdapterOptions {
+        position_origin_ms: may(root, "extra.origin_time_s", Value::as_f64, 0.0)? * 1000.0,
+        clients_report_writes: !terms.remember_writes,
+        clients_mark_retries: may(root, "clients.marks_retry", Value::as_bool, false)?,
+        report_position_index: place("x0"),
+        report_role_index: place("x1"),
         zone_names,
-        stretch,
-        timeout_ms,
-        type_names,
+        target_growth,
+        op_timeouts_ms,
+        op_type_names,
         tenant_names,
-        sessions: terms.op_types.iter().map(|t| matches!(t.level, Level::Write | Level::Session)).collect(),
-        writes: terms.op_types.iter().map(|t| t.level == Level::Write).collect(),
-        tokened: terms.op_types.iter().map(|t| matches!(t.repeat, Repeat::Tokened { .. })).collect(),
-        conn_idle_ms: may_ms(root, "limits.conn_idle_s", 30.0)?,
-        dial_ms: may_ms(root, "limits.dial_timeout_s", 1.0)?,
+        has_session: terms
+            .op_types
+            .iter()
+            .map(|t| matches!(t.level, Level::Write | Level::Session))
+            .collect(),
+        is_write: terms.op_types.iter().map(|t| t.level == Level::Write).collect(),
+        is_tokened: terms.op_types.iter().map(|t| matches!(t.repeat, Repeat::Tokened { .. })).collect(),
+        conn_idle_timeout_ms: may_ms(root, "limits.conn_idle_s", 30.0)?,
+        connect_timeout_ms: may_ms(root, "limits.dial_timeout_s", 1.0)?,
     };
-    Ok((terms, fields))
+    Ok((terms, adapter_options))
 }
--- a/crates/terms/src/start/tests.rs
+++ b/crates/terms/src/startup/tests.rs
@@ -11,10 +11,10 @@
             "staleness_bound_s":[]}},"limits":{{"max_attempts":1,"may_tell":{tell}}},"rules":{{"drain_grace_s":1,
             "cold_from":1,"cold_s":1,"fall_multiple":1,"fall_s":1}}}}}}"#
         );
-        read(text.as_bytes()).unwrap().0.roster
+        parse(text.as_bytes()).unwrap().0.roster
     };
     let two = r#"["127.0.0.1:3","127.0.0.1:4"]"#;
-    assert_eq!(start(r#""me":1,"#, two, "true").unwrap().unwrap().me, 1);
+    assert_eq!(start(r#""me":1,"#, two, "true").unwrap().unwrap().local, 1);
     assert_eq!(start(r#""me":1,"#, two, "false"), Ok(None));
     assert_eq!(start("", "[]", "true"), Ok(None));
     for (me, peers, named) in
@@ -37,7 +37,7 @@
         );
         roster(&serde_json::from_str(&text).unwrap())
     };
-    assert_eq!(peers(MAX_PEERS).unwrap().unwrap().peers.len(), MAX_PEERS);
+    assert_eq!(peers(MAX_PEERS).unwrap().unwrap().addrs.len(), MAX_PEERS);
     let why = peers(MAX_PEERS + 1).unwrap_err();
     assert!(why.contains("'peers'") && why.contains("8193 routers, at most 8192"), "{why}");
 }
--- a/crates/terms/src/tier.rs
+++ b/crates/terms/src/tier.rs
@@ -7,17 +7,17 @@
 
 /// What a tier is set to; times in ms.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TierTerms {
+pub struct TierOptions {
     /// Where a key is set, datagrams without it are dropped.
     pub key: Option<Vec<u8>>,
     /// One probe of a member goes out so often.
-    pub period_ms: f64,
+    pub probe_period_ms: f64,
     /// Members that are told at once what is new; datagrams for that which may go out together, and in a second.
-    pub fan: usize,
-    pub burst: f64,
-    pub refill: f64,
+    pub fanout: usize,
+    pub urgent_burst: f64,
+    pub urgent_per_second: f64,
     /// Others that must say so before a host counts as silent.
-    pub silent: usize,
+    pub unresponsive_quorum: usize,
     /// Whether routers tell one another how long each zone has been silent, and judge zones by it.
     pub zone_evidence: bool,
     /// Whether routers ask one another for primaries that they lack while primaries are changing.
@@ -44,7 +44,7 @@
 }
 
 /// Evaluates a template and reads what it says; none where it says `on: false`. Errors name the key.
-pub fn read(text: &str) -> Result<Option<TierTerms>, String> {
+pub fn parse(text: &str) -> Result<Option<TierOptions>, String> {
     if text.len() > BYTES || depth(text) > DEEP {
         return Err(format!("a template has at most {BYTES} bytes and brackets {DEEP} deep"));
     }
@@ -74,7 +74,7 @@
     }
 }
 
-fn read_keys(root: &Value) -> Result<Option<TierTerms>, String> {
+fn read_keys(root: &Value) -> Result<Option<TierOptions>, String> {
     const KEYS: [&str; 9] =
         ["on", "key", "period_ms", "fan", "burst", "refill", "silent", "zone_evidence", "pull_facts"];
     let object = root.as_object().ok_or("a template of a tier is an object")?;
@@ -86,25 +86,25 @@
     if key.is_some_and(|k| k.len() < LEAST_KEY) {
         return Err(format!("settings key 'key' is shorter than {LEAST_KEY} bytes"));
     }
-    let terms = TierTerms {
+    let terms = TierOptions {
         key: key.map(|k| k.as_bytes().to_vec()),
-        period_ms: number(root, "period_ms", 1_250.0, 100.0, 60_000.0)?,
-        fan: number(root, "fan", 4.0, 1.0, 16.0)? as usize,
-        burst: number(root, "burst", 8.0, 1.0, 1_000.0)?,
-        refill: number(root, "refill", 4.0, 0.1, 100.0)?,
-        silent: number(root, "silent", 2.0, 1.0, 4.0)? as usize,
+        probe_period_ms: number(root, "period_ms", 1_250.0, 100.0, 60_000.0)?,
+        fanout: number(root, "fan", 4.0, 1.0, 16.0)? as usize,
+        urgent_burst: number(root, "burst", 8.0, 1.0, 1_000.0)?,
+        urgent_per_second: number(root, "refill", 4.0, 0.1, 100.0)?,
+        unresponsive_quorum: number(root, "silent", 2.0, 1.0, 4.0)? as usize,
         zone_evidence: may(root, "zone_evidence", Value::as_bool, false)?,
         pull_facts: may(root, "pull_facts", Value::as_bool, false)?,
     };
-    let silence = magpiewell_zones::Limits::for_probe_period(terms.period_ms, f64::INFINITY).silence;
+    let silence = magpiewell_zones::Limits::for_probe_period(terms.probe_period_ms, f64::INFINITY).silence;
     if terms.zone_evidence && silence > magpiewell_zones::Age::MAX_SILENCE_MS {
         return Err(format!(
             "settings key 'period_ms' is too long for 'zone_evidence': {} means {silence} ms of silence, at most {}",
-            terms.period_ms,
+            terms.probe_period_ms,
             magpiewell_zones::Age::MAX_SILENCE_MS
         ));
     }
-    if terms.burst < terms.fan as f64 {
+    if terms.urgent_burst < terms.fanout as f64 {
         return Err("settings key 'burst' is less than 'fan': nothing new would ever be told".into());
     }
     Ok(on.then_some(terms))
@@ -116,11 +116,11 @@
 
     #[test]
     fn a_template_says_what_it_sets_and_a_faulty_one_names_its_key() {
-        let terms = read("{ on: true, fan: 2 + 1, key: 'long enough' }").unwrap().unwrap();
-        assert_eq!((terms.fan, terms.period_ms), (3, 1_250.0));
+        let terms = parse("{ on: true, fan: 2 + 1, key: 'long enough' }").unwrap().unwrap();
+        assert_eq!((terms.fanout, terms.probe_period_ms), (3, 1_250.0));
         assert!(!terms.zone_evidence && !terms.pull_facts);
-        assert!(read("{ on: true, zone_evidence: true, period_ms: 2000 }").unwrap().unwrap().zone_evidence);
-        assert_eq!(read("{ on: false }"), Ok(None));
+        assert!(parse("{ on: true, zone_evidence: true, period_ms: 2000 }").unwrap().unwrap().zone_evidence);
+        assert_eq!(parse("{ on: false }"), Ok(None));
         for (text, named) in [
             ("{ }", "'on'"),
             ("{ on: 1 }", "'on'"),
@@ -135,16 +135,16 @@
             ("import 'other'", "computes"),
             ("{ on: std.length(std.range(1, 1000000000)) > 1 }", "computes"),
         ] {
-            let why = read(text).unwrap_err();
+            let why = parse(text).unwrap_err();
             assert!(why.contains(named), "{text}: {why}");
         }
         // Sixty thousand open brackets once kept the evaluator busy for minutes.
-        assert!(read(&"[".repeat(60_000)).is_err() && read(&"[".repeat(1_000)).is_err());
+        assert!(parse(&"[".repeat(60_000)).is_err() && parse(&"[".repeat(1_000)).is_err());
     }
 
     #[test]
     fn the_template_under_deploy_is_one() {
         let text = include_str!("../../../deploy/tier.jsonnet");
-        assert!(read(text).unwrap().is_some());
+        assert!(parse(text).unwrap().is_some());
     }
 }
