--- a/crates/router/src/admit.rs
+++ b/crates/router/src/admit.rs
@@ -1,7 +1,7 @@
 //! Admits statements: finds their facts and maps names to small numbers.
 
-use magpiewell_pg::head;
-use magpiewell_terms::settings::Fields;
+use magpiewell_pg::statement;
+use magpiewell_terms::settings::AdapterOptions;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::ops::Range;
@@ -35,26 +35,26 @@
 }
 
 impl Names {
-    pub fn new(fields: &Fields, wait_most_ms: f64) -> Names {
+    pub fn new(fields: &AdapterOptions, wait_most_ms: f64) -> Names {
         let index = |names: &[String]| names.iter().cloned().zip(0..).collect();
         Names {
-            types: index(&fields.type_names),
+            types: index(&fields.op_type_names),
             tenants: index(&fields.tenant_names),
-            sessions: fields.sessions.clone(),
-            writes: fields.writes.clone(),
-            tokened: fields.tokened.clone(),
-            marks_repeats: fields.marks_repeats,
+            sessions: fields.has_session.clone(),
+            writes: fields.is_write.clone(),
+            tokened: fields.is_tokened.clone(),
+            marks_repeats: fields.clients_mark_retries,
             wait_most_ms,
         }
     }
 
     /// The facts, or what is wrong with the statement.
     pub fn admit(&self, text: &str) -> Result<Facts, String> {
-        let found = head::statement(text)?;
+        let found = statement::parse(text)?;
         let (mut kind, mut tenant, mut cluster, mut wait) = (None, None, None, None);
         let (mut id, mut after, mut repeat, mut token) = (None, None, false, false);
         let mut seen: Vec<&str> = Vec::with_capacity(8);
-        for (name, at) in head::facts(text, found.comment) {
+        for (name, at) in statement::attributes(text, found.comment) {
             let value = &text[at.clone()];
             let wrong = || format!("fact '{name}' has no usable value");
             if name.is_empty() || seen.contains(&name) {
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -17,8 +17,8 @@
 use magpiewell::policy::Policy;
 use magpiewell::{Consistency, Ending, OpId, OpRequest, Outbox, PeerReport, PolicyOptions};
 use magpiewell_facts::Observation;
-use magpiewell_pg::say;
-use magpiewell_terms::settings::Fields;
+use magpiewell_pg::encode;
+use magpiewell_terms::settings::AdapterOptions;
 use serde_json::Value;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -102,7 +102,7 @@
         self.open.remove(&o.name);
         let mut bytes = Vec::new();
         fill(&mut bytes);
-        bytes.extend_from_slice(&say::READY);
+        bytes.extend_from_slice(&encode::READY_FOR_QUERY);
         let held = self.shared.keep(bytes.len());
         o.client.answer(o.seq, bytes, held);
         // Ops given up on a beat end here: kept, each would hold its client for ever.
@@ -149,13 +149,15 @@
         if let Some(o) = self.ops.get(&op) {
             o.client.told.store((self.shared.clock.now() + retry_ms) as u64, Relaxed);
         }
-        let said = self.answer(op, |to| say::error(to, false, "53300", "busy, try again", &detail));
+        let said =
+            self.answer(op, |to| encode::error_response(to, false, "53300", "busy, try again", &detail));
         self.counts.busy += u64::from(said);
         self.shared.refused.fetch_add(usize::from(said), Relaxed);
     }
 
     fn error_reply(&mut self, op: OpId) {
-        let said = self.answer(op, |to| say::error(to, false, "58000", "no host has answered", ""));
+        let said =
+            self.answer(op, |to| encode::error_response(to, false, "58000", "no host has answered", ""));
         self.counts.errored += u64::from(said);
     }
 
@@ -209,7 +211,7 @@
     pub fn new(
         shared: Arc<Shared>,
         terms: PolicyOptions,
-        fields: &Fields,
+        fields: &AdapterOptions,
         seed: u64,
         ask_list: Sender<()>,
         orders: Orders,
@@ -236,8 +238,8 @@
             .map(|t| t.staleness_bound_ms);
         let observer = Observer::new(bounded.reduce(f64::min));
         let policy = Policy::new(terms, seed, now, &mut outbox);
-        let (timeouts_ms, zones) = (fields.timeout_ms.clone(), fields.zone_names.clone());
-        let carried = fields.carried;
+        let (timeouts_ms, zones) = (fields.op_timeouts_ms.clone(), fields.zone_names.clone());
+        let carried = fields.clients_report_writes;
         let (next_op, tidy_at, groups) = (0, now, HashMap::new());
         Router {
             policy,
@@ -375,8 +377,8 @@
                 if !self.outbox.open.insert(facts.id) {
                     // Another op has this id: one of the two could be taken for the other by hosts.
                     let mut bytes = Vec::new();
-                    say::error(&mut bytes, false, "55006", "an open op has this id", "");
-                    bytes.extend_from_slice(&say::READY);
+                    encode::error_response(&mut bytes, false, "55006", "an open op has this id", "");
+                    bytes.extend_from_slice(&encode::READY_FOR_QUERY);
                     let held = self.outbox.shared.keep(bytes.len());
                     client.answer(seq, bytes, held);
                     return;
