--- a/crates/router/src/client_loop.rs
+++ b/crates/router/src/client_loop.rs
@@ -134,7 +134,7 @@
             }
             self.keep_budget();
             self.accept();
-            while let Some(no) = self.timers.fire(self.shared.clock.now()) {
+            while let Some(no) = self.timers.pop_due(self.shared.clock.now()) {
                 self.give(no, Reader::overdue);
             }
             self.thin_out();
@@ -158,7 +158,7 @@
         let Room { mode, gather_ms, opens, share, come_back_ms } = self.room;
         self.shared.gather_us.store((gather_ms * 1e3) as u64, Relaxed);
         if (share, come_back_ms) != (before.share, before.come_back_ms) {
-            drop(self.events.send(Event::Carries { share, come_back: come_back_ms }));
+            drop(self.events.send(Event::AdmissionChanged { share, retry_after_ms: come_back_ms }));
         }
         if mode == before.mode {
             return;
@@ -183,7 +183,7 @@
         // Somebody acceptable and there is no room, or all are to go: looked at more often.
         let beat =
             if self.acceptable || self.emptying { limits.accept_check / 10 } else { limits.accept_check };
-        let next = self.timers.next().map_or(beat, |due| self.shared.clock.until(due));
+        let next = self.timers.next_due().map_or(beat, |due| self.shared.clock.until(due));
         next.min(beat)
     }
 
--- a/crates/router/src/client_reader.rs
+++ b/crates/router/src/client_reader.rs
@@ -265,7 +265,7 @@
     /// What it asked and was not answered yet is owed to nobody.
     pub fn cut_off(&mut self) -> Turn {
         if self.client.pending.load(Acquire) > 0 {
-            drop(self.events.send(Event::Left { client: self.client.no }));
+            drop(self.events.send(Event::ClientDisconnected { client: self.client.no }));
         }
         self.client.break_off();
         Turn::Gone
@@ -402,7 +402,7 @@
     }
 
     fn query(&mut self, body: &[u8]) -> Result<(), Over> {
-        let taken = self.shared.clock.now();
+        let arrived_at = self.shared.clock.now();
         // Its one zero byte stands at its end: one inside would hide what follows it.
         let Some((text, _)) = frame::text(body, 0).filter(|(_, end)| *end == body.len()) else {
             return self.end_with("08P01", "a query with no end, or more behind it");
@@ -429,19 +429,19 @@
         self.faults = 0;
         self.asks = true;
         let seq = self.enter()?;
-        let (writes, wait_at) = (facts.writes, facts.wait_at.clone());
-        let statement = Statement { text: text.as_bytes().to_vec(), writes, wait_at, held };
-        let event = Event::Arrived {
+        let (is_write, timeout_range) = (facts.writes, facts.wait_at.clone());
+        let statement = Statement { text: text.as_bytes().to_vec(), is_write, timeout_range, held };
+        let event = Event::OpArrived {
             client: self.client.clone(),
             seq,
             facts: Box::new(facts),
             statement: Arc::new(statement),
-            taken,
+            arrived_at,
         };
         self.events.send(event).map_err(|_| Gone)?;
         // Who is told to come back later and never waits costs more than the ops that it is refused. Outside it
         // waits until there is time to let it in.
-        let early = taken < self.client.told.load(Relaxed) as f64 && self.shared.short.load(Relaxed);
+        let early = arrived_at < self.client.told.load(Relaxed) as f64 && self.shared.short.load(Relaxed);
         self.early += usize::from(early);
         // What has arrived behind this is still taken: dropped, it would be an op without an answer.
         self.leaving |= self.early >= self.shared.limits.early;
--- a/crates/router/src/event.rs
+++ b/crates/router/src/event.rs
@@ -9,19 +9,19 @@
 
 pub enum Event {
     /// A client's op, taken whole at a time on the router's clock.
-    Arrived { client: Arc<Client>, seq: u64, facts: Box<Facts>, statement: Arc<Statement>, taken: f64 },
+    OpArrived { client: Arc<Client>, seq: u64, facts: Box<Facts>, statement: Arc<Statement>, arrived_at: f64 },
     /// A client has gone and left commands open.
-    Left { client: u64 },
+    ClientDisconnected { client: u64 },
     /// A connection's job is over.
-    Ended { conn: u64, result: Box<Result> },
+    JobFinished { conn: u64, result: Box<Result> },
     /// A connection ended idle; nothing was written of a job it may have been given meanwhile.
-    Closed { conn: u64 },
+    IdleConnectionClosed { conn: u64 },
     /// The share of ops that processor time is there for, and when others may come back, in ms.
-    Carries { share: f64, come_back: f64 },
+    AdmissionChanged { share: f64, retry_after_ms: f64 },
     /// Peers have told something.
     PeerFacts(Vec<magpiewell_tier::PeerFact>),
     /// The list has news.
-    News,
+    ListResponse,
     /// All clients have been answered.
     Stop,
 }
@@ -29,8 +29,8 @@
 /// A statement as the client wrote it, and where its wait stands.
 pub struct Statement {
     pub text: Vec<u8>,
-    pub writes: bool,
-    pub wait_at: Range<usize>,
+    pub is_write: bool,
+    pub timeout_range: Range<usize>,
     #[allow(dead_code, reason = "counts as held until dropped")]
     pub held: Held,
 }
--- a/crates/router/src/hosts.rs
+++ b/crates/router/src/host_loop.rs
@@ -17,7 +17,7 @@
 
 const WAKE: Token = Token(usize::MAX);
 
-pub enum Order {
+pub enum Command {
     /// Opens a connection for a job.
     Open { no: u64, addr: SocketAddr, line: Arc<Line>, job: Job },
     /// A job for an idle connection. Where that has just ended the loop has told so already.
@@ -27,15 +27,15 @@
 }
 
 /// Where the decision thread gives its orders; several at once wake the loop once.
-pub struct Orders {
-    to: Sender<Order>,
+pub struct CommandSender {
+    to: Sender<Command>,
     waker: Waker,
     /// Some have been given since the loop was last woken.
     waiting: Cell<bool>,
 }
 
-impl Orders {
-    pub fn give(&self, order: Order) {
+impl CommandSender {
+    pub fn give(&self, order: Command) {
         drop(self.to.send(order));
         self.waiting.set(true);
     }
@@ -51,21 +51,21 @@
     shared: Arc<Shared>,
     events: Sender<Event>,
     poll: Poll,
-    orders: Receiver<Order>,
+    orders: Receiver<Command>,
     connections: HashMap<u64, Connection>,
     timers: Timers,
     scratch: Vec<u8>,
 }
 
 /// A loop, not yet running, and where it takes its orders. It ends once nobody can give it any.
-pub fn new(shared: &Arc<Shared>, events: Sender<Event>) -> std::io::Result<(Hosts, Orders)> {
+pub fn new(shared: &Arc<Shared>, events: Sender<Event>) -> std::io::Result<(Hosts, CommandSender)> {
     let poll = Poll::new()?;
     let waker = Waker::new(poll.registry(), WAKE)?;
     let (to, orders) = crossbeam_channel::unbounded();
     let scratch = vec![0; shared.limits.read_bytes];
     let (connections, timers) = Default::default();
     let hosts = Hosts { shared: shared.clone(), events, poll, orders, connections, timers, scratch };
-    Ok((hosts, Orders { to, waker, waiting: Cell::new(false) }))
+    Ok((hosts, CommandSender { to, waker, waiting: Cell::new(false) }))
 }
 
 impl Hosts {
@@ -73,7 +73,7 @@
         let mut events = Events::with_capacity(self.shared.limits.events);
         loop {
             self.shared.gather();
-            let wait = self.timers.next().map(|due| self.shared.clock.until(due));
+            let wait = self.timers.next_due().map(|due| self.shared.clock.until(due));
             // The decision thread's end wakes nobody.
             let wait = wait.unwrap_or(self.shared.limits.idle_check).min(self.shared.limits.idle_check);
             match self.poll.poll(&mut events, Some(wait)) {
@@ -98,7 +98,7 @@
                     Err(TryRecvError::Disconnected) => return,
                 }
             }
-            while let Some(no) = self.timers.fire(self.shared.clock.now()) {
+            while let Some(no) = self.timers.pop_due(self.shared.clock.now()) {
                 if let Some(connection) = self.connections.get_mut(&no) {
                     let step = connection.overdue();
                     self.after(no, step);
@@ -107,32 +107,32 @@
         }
     }
 
-    fn obey(&mut self, order: Order) {
+    fn obey(&mut self, order: Command) {
         match order {
-            Order::Open { no, addr, line, job } => match Connection::dial(&self.shared, addr, line, job) {
+            Command::Open { no, addr, line, job } => match Connection::dial(&self.shared, addr, line, job) {
                 Ok(connection) => {
                     let fd = connection.stream.as_raw_fd();
                     let both = Interest::READABLE | Interest::WRITABLE;
                     let watched = self.poll.registry().register(&mut SourceFd(&fd), Token(no as usize), both);
                     if watched.is_err() {
                         let result = Box::new(ended(magpiewell::Ending::Unsent));
-                        return drop(self.events.send(Event::Ended { conn: no, result }));
+                        return drop(self.events.send(Event::JobFinished { conn: no, result }));
                     }
                     self.connections.insert(no, connection);
                     self.after(no, Step::Wait);
                 }
                 Err(ending) => {
                     let result = Box::new(ended(ending));
-                    drop(self.events.send(Event::Ended { conn: no, result }));
+                    drop(self.events.send(Event::JobFinished { conn: no, result }));
                 }
             },
-            Order::Carry { no, job } => {
+            Command::Carry { no, job } => {
                 if let Some(connection) = self.connections.get_mut(&no) {
                     let step = connection.take(job);
                     self.after(no, step);
                 }
             }
-            Order::Close { no } => {
+            Command::Close { no } => {
                 self.connections.remove(&no);
                 self.timers.set(no, None);
             }
@@ -156,10 +156,10 @@
             Step::Wait => {}
             Step::Over(result) => {
                 tracing::debug!(conn = no, ending = ?result.ending, open = result.open, "job over");
-                drop(self.events.send(Event::Ended { conn: no, result }));
+                drop(self.events.send(Event::JobFinished { conn: no, result }));
             }
             Step::Closed => {
-                drop(self.events.send(Event::Closed { conn: no }));
+                drop(self.events.send(Event::IdleConnectionClosed { conn: no }));
             }
         }
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -8,8 +8,7 @@
 mod clock;
 mod event;
 mod eviction;
-mod gather;
-mod hosts;
+mod host_loop;
 mod limits;
 mod list;
 mod observer;
@@ -22,6 +21,7 @@
 mod signals;
 pub mod tier;
 mod timers;
+mod vectored_io;
 
 use crossbeam_channel::{bounded, unbounded};
 use magpiewell_terms::start::{self, Start};
@@ -166,7 +166,7 @@
     let clock = clock::Clock::start(staged.clock_off_ms);
     let shared = shared::Shared::new(limits, staged, clock, wakeups, wake);
     let (hosts, orders) =
-        hosts::new(&shared, events.clone()).map_err(|e| format!("cannot watch hosts: {e}"))?;
+        host_loop::new(&shared, events.clone()).map_err(|e| format!("cannot watch hosts: {e}"))?;
     let peers = match &tier {
         Some(terms) => tier::new(&shared, events.clone(), &start, terms)?,
         None => None,
@@ -188,7 +188,7 @@
         observations,
     );
     if let Some(known) = &start.known {
-        router.list(known, true);
+        router.apply_host_list(known, true);
         tracing::info!("ready with the list as last known");
     }
     let watches = list::Watches::new(shared.clone(), events.clone(), news, asked);
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -112,7 +112,7 @@
             return false;
         }
         drop(self.news.send(page));
-        drop(self.events.send(Event::News));
+        drop(self.events.send(Event::ListResponse));
         true
     }
 
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -1,6 +1,6 @@
 //! The pool's books: hosts as the list names them, connections, and what each is doing.
 
-use crate::hosts::{Order, Orders};
+use crate::host_loop::{Command, CommandSender};
 use crate::observer;
 use crate::send::{CallBack, CalledBack, Job, Line};
 use crate::shared::Shared;
@@ -49,14 +49,14 @@
     slots: Vec<Slot>,
     groups: HashMap<u64, usize>,
     conns: HashMap<u64, Conn>,
-    orders: Orders,
+    orders: CommandSender,
     next: u64,
     /// Connections opened since the start.
     pub dials: u64,
 }
 
 impl Pool {
-    pub fn new(shared: Arc<Shared>, orders: Orders) -> Pool {
+    pub fn new(shared: Arc<Shared>, orders: CommandSender) -> Pool {
         let (index, keys, slots, groups) = Default::default();
         Pool { shared, index, keys, slots, groups, conns: HashMap::new(), orders, next: 0, dials: 0 }
     }
@@ -147,7 +147,7 @@
             conn.line.begin();
             conn.task = Some(task);
             // Where it has just ended, the loop has told so, and the task is started anew when that is taken.
-            self.orders.give(Order::Carry { no, job });
+            self.orders.give(Command::Carry { no, job });
             return Some(no);
         }
         if self.conns.len() >= self.shared.limits.host_connections && !self.close_idlest() {
@@ -156,7 +156,7 @@
         let no = self.next;
         self.next += 1;
         let (line, addr) = (Arc::new(Line::default()), self.slots[host].addr);
-        self.orders.give(Order::Open { no, addr, line: line.clone(), job });
+        self.orders.give(Command::Open { no, addr, line: line.clone(), job });
         self.dials += 1;
         self.conns.insert(no, Conn { host, addr, line, task: Some(task), idle_since: 0.0 });
         Some(no)
@@ -214,7 +214,7 @@
 
     fn let_go(&mut self, no: u64) {
         self.conns.remove(&no);
-        self.orders.give(Order::Close { no });
+        self.orders.give(Command::Close { no });
     }
 
     /// Closes the connection that has been idle longest; false where all are in use.
@@ -223,7 +223,7 @@
         let oldest = self.slots.iter().filter_map(|slot| slot.idle.first().copied());
         let Some(no) = oldest.min_by(|a, b| since(a).total_cmp(&since(b))) else { return false };
         self.closed(no);
-        self.orders.give(Order::Close { no });
+        self.orders.give(Command::Close { no });
         true
     }
 }
--- a/crates/router/src/pool/tests.rs
+++ b/crates/router/src/pool/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::hosts;
+use crate::host_loop;
 use crate::send::Work;
 use crate::shared::empty;
 
@@ -9,7 +9,7 @@
 
 fn pool() -> Pool {
     let shared = empty();
-    let (_, orders) = hosts::new(&shared, crossbeam_channel::unbounded().0).unwrap();
+    let (_, orders) = host_loop::new(&shared, crossbeam_channel::unbounded().0).unwrap();
     Pool::new(shared, orders)
 }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,8 +1,8 @@
 //! Relays answers to a client, in the order of its commands. Whoever brings the next one writes it, as far as the
 //! client takes it without waiting; what is left over the clients' loop writes when the client takes more.
 
-use crate::gather;
 use crate::shared::{Held, Shared};
+use crate::vectored_io;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
@@ -128,7 +128,9 @@
             return;
         }
         let parts: Vec<&[u8]> = state.left.iter().map(|(bytes, _)| bytes.as_slice()).collect();
-        let Ok(mut taken) = gather::write_now(&self.stream, &parts) else { return self.break_off_now(state) };
+        let Ok(mut taken) = vectored_io::write_nonblocking(&self.stream, &parts) else {
+            return self.break_off_now(state);
+        };
         let mut whole = 0;
         while let Some((bytes, _)) = state.left.front_mut() {
             if bytes.len() > taken {
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -4,7 +4,7 @@
 use crate::admit::Facts;
 use crate::answer::Result;
 use crate::event::{Event, Statement};
-use crate::hosts::Orders;
+use crate::host_loop::CommandSender;
 use crate::list::{self, News};
 use crate::observer::{GroupId, HostId, Observer};
 use crate::pool::{Pool, Task};
@@ -212,7 +212,7 @@
         fields: &Fields,
         seed: u64,
         ask_list: Sender<()>,
-        orders: Orders,
+        orders: CommandSender,
         observations: Option<ObservationSender>,
     ) -> Router {
         let now = shared.clock.now();
@@ -252,7 +252,7 @@
     }
 
     /// A page of the list, read in full before.
-    pub fn list(&mut self, page: &Value, kept: bool) {
+    pub fn apply_host_list(&mut self, page: &Value, kept: bool) {
         let now = self.outbox.shared.clock.now();
         let (policy, pool) = (&mut self.policy, &mut self.outbox.pool);
         policy.list_start(kept || list::is_whole(page), kept);
@@ -356,7 +356,7 @@
     fn take_news(&mut self, news: &Receiver<News>) {
         for page in news.try_iter() {
             match page {
-                Some(page) => self.list(&page, false),
+                Some(page) => self.apply_host_list(&page, false),
                 None => self.policy.list_failed(self.outbox.shared.clock.now()),
             }
         }
@@ -366,8 +366,8 @@
         let now = self.outbox.shared.clock.now();
         match event {
             // It left while its op waited in the channel.
-            Event::Arrived { client, .. } if client.is_gone() => self.outbox.counts.left += 1,
-            Event::Arrived { client, seq, facts, statement, taken } => {
+            Event::OpArrived { client, .. } if client.is_gone() => self.outbox.counts.left += 1,
+            Event::OpArrived { client, seq, facts, statement, arrived_at } => {
                 if !self.outbox.open.insert(facts.id) {
                     // Another op has this id: one of the two could be taken for the other by hosts.
                     let mut bytes = Vec::new();
@@ -379,7 +379,7 @@
                 }
                 self.next_op += 1;
                 let id = self.next_op;
-                let until = (taken + facts.wait_ms).min(self.outbox.shared.stop_by());
+                let until = (arrived_at + facts.wait_ms).min(self.outbox.shared.stop_by());
                 let sends = Vec::new();
                 let name = facts.id;
                 let op = Op { name, client, seq, statement, until, answered: false, sends };
@@ -391,7 +391,7 @@
                     None => self.outbox.busy_reply(id, 0.0),
                 }
             }
-            Event::Left { client } => {
+            Event::ClientDisconnected { client } => {
                 let outbox = &self.outbox;
                 let gone = outbox.ops.iter().filter(|(_, o)| o.client.no == client && !o.answered);
                 let mut gone: Vec<OpId> = gone.map(|(id, _)| *id).collect();
@@ -406,15 +406,15 @@
                 self.policy.left(now, &mut self.outbox, &gone);
                 gone.into_iter().for_each(|id| self.outbox.drop_if_over(id));
             }
-            Event::Ended { conn, result } => self.back(now, conn, *result),
-            Event::Closed { conn } => match self.outbox.pool.closed(conn) {
+            Event::JobFinished { conn, result } => self.back(now, conn, *result),
+            Event::IdleConnectionClosed { conn } => match self.outbox.pool.closed(conn) {
                 Some((host, Task::Send { op, send })) => self.outbox.send_on(op, send, host),
                 Some((host, Task::Probe { since })) => self.outbox.probe_on(host, since),
                 _ => {}
             },
-            Event::Carries { share, come_back } => self.policy.carries(share, come_back),
+            Event::AdmissionChanged { share, retry_after_ms } => self.policy.carries(share, retry_after_ms),
             Event::PeerFacts(peer_facts) => self.peer_facts(now, peer_facts),
-            Event::News | Event::Stop => {}
+            Event::ListResponse | Event::Stop => {}
         }
         self.settle();
     }
--- a/crates/router/src/route/tests.rs
+++ b/crates/router/src/route/tests.rs
@@ -15,7 +15,7 @@
     let start = magpiewell_terms::start::read(start.as_bytes()).unwrap().0;
     let names = Names::new(&start.fields, 1_000.0);
     let shared = empty();
-    let (_hosts, orders) = crate::hosts::new(&shared, crossbeam_channel::unbounded().0).unwrap();
+    let (_hosts, orders) = crate::host_loop::new(&shared, crossbeam_channel::unbounded().0).unwrap();
     let ask_list = crossbeam_channel::bounded(1).0;
     let mut router = Router::new(shared.clone(), start.terms, &start.fields, 1, ask_list, orders, None);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -25,15 +25,15 @@
         let text = format!("SELECT v FROM records WHERE k = 'k' /* id={no},c=look,d=900,cluster=3 */");
         let facts = Box::new(names.admit(&text).unwrap());
         let statement =
-            Statement { text: text.into_bytes(), writes: false, wait_at: 0..0, held: shared.keep(0) };
+            Statement { text: text.into_bytes(), is_write: false, timeout_range: 0..0, held: shared.keep(0) };
         let seq = client.enter().unwrap();
         if left {
             client.break_off();
         }
-        let taken = shared.clock.now();
-        router.take(Event::Arrived { client, seq, facts, statement: Arc::new(statement), taken });
+        let arrived_at = shared.clock.now();
+        router.take(Event::OpArrived { client, seq, facts, statement: Arc::new(statement), arrived_at });
     }
-    router.take(Event::Left { client: 7 });
+    router.take(Event::ClientDisconnected { client: 7 });
     let counts = &router.outbox.counts;
     assert_eq!((counts.left, counts.taken), (1, 1));
 }
--- a/crates/router/src/send.rs
+++ b/crates/router/src/send.rs
@@ -1,11 +1,11 @@
 //! Sends to hosts: one connection, one job at a time. Dials, writes, reads until the answer is whole, and never
-//! waits: the hosts' loop (`hosts.rs`) calls it when its socket has news or its time is up.
+//! waits: the hosts' loop (`host_loop.rs`) calls it when its socket has news or its time is up.
 
 use crate::answer::{Reading, Result, ended};
 use crate::event::Statement;
-use crate::gather;
 use crate::probe;
 use crate::shared::Shared;
+use crate::vectored_io;
 use magpiewell::Ending;
 use magpiewell_pg::{frame, say, shape};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -106,7 +106,7 @@
         if matches!(*stage, Stage::CalledBack) {
             return None;
         }
-        let written = gather::write_now(stream, parts);
+        let written = vectored_io::write_nonblocking(stream, parts);
         let whole = parts.iter().map(|part| part.len()).sum::<usize>();
         let all = written.as_ref().is_ok_and(|n| *n == whole);
         *stage = if all { Stage::Written(stream.clone()) } else { Stage::Begun(stream.clone()) };
@@ -260,12 +260,12 @@
         }
         let left = self.shared.clock.until(job.until).as_millis().max(1);
         let (tag, wait) = match &job.work {
-            Work::Op(statement) if statement.writes => (&b"INSERT 0 1"[..], format!("{left}")),
+            Work::Op(statement) if statement.is_write => (&b"INSERT 0 1"[..], format!("{left}")),
             Work::Op(_) => (&b"SELECT 1"[..], format!("{left}")),
             Work::Probe => (&b"SHOW"[..], String::new()),
         };
         let (before, behind) = match &job.work {
-            Work::Op(s) => (&s.text[..s.wait_at.start], &s.text[s.wait_at.end..]),
+            Work::Op(s) => (&s.text[..s.timeout_range.start], &s.text[s.timeout_range.end..]),
             Work::Probe => (probe::ASK, &b""[..]),
         };
         let head = say::query_head(before.len() + wait.len() + behind.len());
@@ -278,7 +278,7 @@
             None => {
                 self.due = now + limits.dial_ms;
                 self.phase = Phase::Carrying(None, Reading::new(true, true, b""));
-                return match gather::write_now(&self.stream, &[&opening]) {
+                return match vectored_io::write_nonblocking(&self.stream, &[&opening]) {
                     Ok(taken) if taken == opening.len() => Step::Wait,
                     _ => over(ended(Ending::Withdrawn)),
                 };
--- a/crates/router/src/send/tests.rs
+++ b/crates/router/src/send/tests.rs
@@ -89,7 +89,8 @@
 }
 
 fn write_of(shared: &Arc<Shared>, bytes: usize) -> Job {
-    let statement = Statement { text: vec![b'x'; bytes], writes: true, wait_at: 0..0, held: shared.keep(0) };
+    let statement =
+        Statement { text: vec![b'x'; bytes], is_write: true, timeout_range: 0..0, held: shared.keep(0) };
     Job { work: Work::Op(Arc::new(statement)), ..job(shared, 60_000.0) }
 }
 
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -29,7 +29,7 @@
     }
 
     /// The earliest number that is due by now; its time is taken from it.
-    pub fn fire(&mut self, now: f64) -> Option<u64> {
+    pub fn pop_due(&mut self, now: f64) -> Option<u64> {
         let (due, no) = *self.order.first()?;
         if due as f64 > now {
             return None;
@@ -39,7 +39,7 @@
     }
 
     /// When the next one is due.
-    pub fn next(&self) -> Option<f64> {
+    pub fn next_due(&self) -> Option<f64> {
         self.order.first().map(|(due, _)| *due as f64)
     }
 }
--- a/crates/router/src/timers/tests.rs
+++ b/crates/router/src/timers/tests.rs
@@ -8,9 +8,9 @@
         timers.set(no, Some(due));
     }
     timers.set(3, None);
-    assert_eq!((timers.next(), timers.fire(4.9)), (Some(5.0), None));
-    assert_eq!([timers.fire(20.0), timers.fire(20.0), timers.fire(20.0)], [Some(2), Some(1), None]);
+    assert_eq!((timers.next_due(), timers.pop_due(4.9)), (Some(5.0), None));
+    assert_eq!([timers.pop_due(20.0), timers.pop_due(20.0), timers.pop_due(20.0)], [Some(2), Some(1), None]);
     timers.set(1, Some(8.4));
-    assert_eq!((timers.fire(8.9), timers.fire(9.0)), (None, Some(1)));
+    assert_eq!((timers.pop_due(8.9), timers.pop_due(9.0)), (None, Some(1)));
     assert!(timers.order.is_empty() && timers.due.is_empty());
 }
--- a/crates/router/src/gather.rs
+++ b/crates/router/src/vectored_io.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 
 /// Writes what is taken without waiting; tells how many bytes that was.
-pub fn write_now(to: &TcpStream, parts: &[&[u8]]) -> Result<usize> {
+pub fn write_nonblocking(to: &TcpStream, parts: &[&[u8]]) -> Result<usize> {
     let mut slices: Vec<IoSlice> = parts.iter().map(|part| IoSlice::new(part)).collect();
     let mut rest = &mut slices[..];
     let mut written = 0;
