--- a/crates/lab/src/bin/magpiewell-staged.rs
+++ b/crates/lab/src/bin/magpiewell-staged.rs
@@ -23,7 +23,10 @@
 
 fn main() -> ExitCode {
     let Command { options, send_work_ms, clock_off_ms } = Command::parse();
-    match magpiewell_router::run_staged(options, magpiewell_router::Staged { send_work_ms, clock_off_ms }) {
+    match magpiewell_router::run_with_overrides(
+        options,
+        magpiewell_router::LabOverrides { send_work_ms, clock_off_ms },
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("magpiewell-staged: {why}");
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/client.rs
@@ -2,7 +2,7 @@
 //! client takes it without waiting; what is left over the clients' loop writes when the client takes more.
 
 use crate::gather;
-use crate::shared::{Held, Shared};
+use crate::shared::{MemoryReservation, Shared};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
@@ -21,9 +21,9 @@
     next: u64,
     done: u64,
     /// Answers that came before their turn.
-    early: BTreeMap<u64, (Vec<u8>, Held)>,
+    early: BTreeMap<u64, (Vec<u8>, MemoryReservation)>,
     /// What the client did not take at once.
-    left: VecDeque<(Vec<u8>, Held)>,
+    left: VecDeque<(Vec<u8>, MemoryReservation)>,
     /// Reading waits until some of the answers are written.
     waited_for: bool,
     /// No more commands come.
@@ -34,7 +34,7 @@
 
 /// One client connection; its descriptor closes when the clients' loop and its ops have let go.
 pub struct Client {
-    pub no: u64,
+    pub id: u64,
     pub stream: TcpStream,
     pub outgoing: Outgoing,
     /// Commands taken whose answers are not written yet.
@@ -42,22 +42,22 @@
     /// When it last wrote something or was answered, in whole ms.
     pub last: AtomicU64,
     /// When it was told to come back, in whole ms.
-    pub told: AtomicU64,
+    pub retry_at: AtomicU64,
     pub shared: Arc<Shared>,
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
-        self.shared.client_left();
+        self.shared.client_closed();
     }
 }
 
 impl Client {
-    pub fn new(shared: &Arc<Shared>, no: u64, stream: TcpStream) -> Arc<Client> {
-        shared.client_came();
+    pub fn new(shared: &Arc<Shared>, id: u64, stream: TcpStream) -> Arc<Client> {
+        shared.client_opened();
         let last = AtomicU64::new(shared.clock.now() as u64);
-        let (outgoing, pending, told) = Default::default();
-        Arc::new(Client { no, stream, outgoing, pending, last, told, shared: shared.clone() })
+        let (outgoing, pending, retry_at) = Default::default();
+        Arc::new(Client { id, stream, outgoing, pending, last, retry_at, shared: shared.clone() })
     }
 
     fn outgoing(&self) -> MutexGuard<'_, State> {
@@ -72,7 +72,7 @@
     }
 
     /// The number of a new command; none where nothing can be written any more.
-    pub fn enter(&self) -> Option<u64> {
+    pub fn begin_command(&self) -> Option<u64> {
         let mut state = self.outgoing();
         if state.broken {
             return None;
@@ -83,7 +83,7 @@
     }
 
     /// The whole answer to a command.
-    pub fn answer(self: &Arc<Client>, seq: u64, bytes: Vec<u8>, held: Held) {
+    pub fn answer(self: &Arc<Client>, seq: u64, bytes: Vec<u8>, held: MemoryReservation) {
         let mut guard = self.outgoing();
         let state = &mut *guard;
         if state.broken {
@@ -106,7 +106,7 @@
         self.write(state);
         if !state.left.is_empty() {
             // Its loop gives it only so long to take the rest.
-            self.shared.wake_client(self.no);
+            self.shared.wake_client(self.id);
         }
     }
 
@@ -128,7 +128,7 @@
             return;
         }
         let parts: Vec<&[u8]> = state.left.iter().map(|(bytes, _)| bytes.as_slice()).collect();
-        let Ok(mut taken) = gather::write_now(&self.stream, &parts) else { return self.break_off_now(state) };
+        let Ok(mut taken) = gather::write_now(&self.stream, &parts) else { return self.abort_locked(state) };
         let mut whole = 0;
         while let Some((bytes, _)) = state.left.front_mut() {
             if bytes.len() > taken {
@@ -154,7 +154,7 @@
     }
 
     /// It has gone: nothing is owed to it.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.outgoing().broken
     }
 
@@ -173,16 +173,16 @@
             drop(self.stream.shutdown(Shutdown::Write));
         }
         if finished || (answers > 0 && std::mem::take(&mut state.waited_for)) {
-            self.shared.wake_client(self.no);
+            self.shared.wake_client(self.id);
         }
     }
 
     /// Nothing more is written: an answer cut short can only end the connection.
-    pub fn break_off(&self) {
-        self.break_off_now(&mut self.outgoing());
+    pub fn abort(&self) {
+        self.abort_locked(&mut self.outgoing());
     }
 
-    fn break_off_now(&self, state: &mut State) {
+    fn abort_locked(&self, state: &mut State) {
         (state.broken, state.left, state.early) = (true, VecDeque::new(), BTreeMap::new());
         // Its loop notices the end of reading.
         drop(self.stream.shutdown(Shutdown::Both));
--- a/crates/router/src/client_loop.rs
+++ b/crates/router/src/client_loop.rs
@@ -2,11 +2,11 @@
 //! have something to say, can take more of their answers, or have run out of time. A connection that says nothing
 //! has no thread and costs nothing but its descriptor.
 
-use crate::admit::Names;
+use crate::client::Client;
 use crate::client_reader::{Reader, Turn};
 use crate::event::Event;
 use crate::eviction::{EvictionOrder, Standing};
-use crate::relay::Client;
+use crate::op_facts::OpFactsParser;
 use crate::shared::Shared;
 use crate::timers::Timers;
 use crossbeam_channel::{Receiver, Sender};
@@ -28,7 +28,7 @@
 
 pub struct ClientLoop {
     shared: Arc<Shared>,
-    names: Arc<Names>,
+    names: Arc<OpFactsParser>,
     events: Sender<Event>,
     poll: Poll,
     /// None once nobody else is let in.
@@ -59,7 +59,7 @@
     /// The listener must not wait in its calls.
     pub fn new(
         shared: Arc<Shared>,
-        names: Arc<Names>,
+        names: Arc<OpFactsParser>,
         events: Sender<Event>,
         poll: Poll,
         listener: TcpListener,
@@ -96,7 +96,7 @@
     pub fn run(mut self) {
         let mut events = Events::with_capacity(self.shared.limits.events);
         loop {
-            self.shared.gather();
+            self.shared.pause_to_batch();
             let wait = self.wait();
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(e) if e.kind() != std::io::ErrorKind::Interrupted => {
@@ -156,7 +156,7 @@
         let room = self.budget.beat(now, used, self.shared.refused.load(Relaxed));
         let before = std::mem::replace(&mut self.room, room);
         let Room { mode, gather_ms, opens, share, come_back_ms } = self.room;
-        self.shared.gather_us.store((gather_ms * 1e3) as u64, Relaxed);
+        self.shared.batch_pause_us.store((gather_ms * 1e3) as u64, Relaxed);
         if (share, come_back_ms) != (before.share, before.come_back_ms) {
             drop(self.events.send(Event::Carries { share, come_back: come_back_ms }));
         }
@@ -212,7 +212,7 @@
             let watched = self.poll.registry().reregister(&mut SourceFd(&stream), Token(no as usize), both);
             if watched.is_err() {
                 // Nobody would tell when it takes more.
-                reader.client.break_off();
+                reader.client.abort();
             }
         }
         self.timers.set(no, reader.due());
@@ -314,8 +314,8 @@
     /// once nobody is left.
     fn stops(&mut self) -> bool {
         let (now, limits) = (self.shared.clock.now(), &self.shared.limits);
-        let cut_at = self.shared.stop_by() + limits.cut.as_secs_f64() * 1000.0;
-        if now < self.shared.stopping_since(limits.grace) {
+        let cut_at = self.shared.stop_deadline() + limits.cut.as_secs_f64() * 1000.0;
+        if now < self.shared.after_stop_request(limits.grace) {
             return false;
         }
         // Who stands in the queue as it closes is lost, so it is looked at once more; where the router was held up, it
@@ -329,7 +329,7 @@
             (self.listener, self.acceptable) = (None, false);
             tracing::info!(clients = self.shared.clients(), "no more clients are let in");
         }
-        if self.listener.is_none() && !self.emptying && now >= self.shared.stopping_since(limits.linger) {
+        if self.listener.is_none() && !self.emptying && now >= self.shared.after_stop_request(limits.linger) {
             self.emptying = true;
             let (all, clients): (Vec<u64>, _) =
                 (self.readers.keys().copied().collect(), self.shared.clients());
--- a/crates/router/src/client_loop/tests.rs
+++ b/crates/router/src/client_loop/tests.rs
@@ -1,16 +1,17 @@
 use super::*;
 use crate::clock::Clock;
-use crate::limits::{Limits, START};
+use crate::limits::{Limits, MINIMAL_CONFIGURATION};
 use std::time::Instant;
 
 fn clients() -> (ClientLoop, std::net::SocketAddr) {
-    let start = magpiewell_terms::start::read(START).unwrap().0;
-    let names = Arc::new(Names::new(&start.fields, 1.0));
+    let start = magpiewell_terms::start::read(MINIMAL_CONFIGURATION).unwrap().0;
+    let names = Arc::new(OpFactsParser::new(&start.fields, 1.0));
     let poll = Poll::new().unwrap();
     let wake = mio::Waker::new(poll.registry(), WAKE).unwrap();
     let (wakeups, look) = crossbeam_channel::unbounded();
     let (events, limits) = (crossbeam_channel::unbounded().0, Limits::new(&start));
-    let shared = Shared::new(limits, crate::shared::Staged::default(), Clock::start(0.0), wakeups, wake);
+    let shared =
+        Shared::new(limits, crate::shared::LabOverrides::default(), Clock::start(0.0), wakeups, wake);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     listener.set_nonblocking(true).unwrap();
@@ -82,7 +83,7 @@
     clients.welcome(stream);
     clients.give(no, |reader, scratch| {
         (reader.asks, reader.leaving) = (true, true);
-        assert!(reader.client.enter().is_some());
+        assert!(reader.client.begin_command().is_some());
         reader.turn(scratch, false)
     });
     assert!(clients.readers.contains_key(&no), "it is owed an answer");
@@ -101,9 +102,9 @@
     let (mut clients, at) = clients();
     let ours: Vec<_> = (0..40).map(|_| TcpStream::connect(at).unwrap()).collect();
     clients.acceptable = false;
-    clients.shared.stop_from_now();
+    clients.shared.request_stop();
     let limits = &clients.shared.limits;
-    let over = clients.shared.stopping_since(limits.grace + limits.last_look);
+    let over = clients.shared.after_stop_request(limits.grace + limits.last_look);
     while clients.shared.clock.now() < over {}
     while clients.listener.is_some() {
         clients.accept();
@@ -122,9 +123,9 @@
         clients.accept();
     }
     let reader = clients.readers.values().next().unwrap();
-    assert!(reader.client.enter().is_some());
-    clients.shared.stop_from_now();
-    let over = clients.shared.stop_by() + clients.shared.limits.cut.as_secs_f64() * 1000.0;
+    assert!(reader.client.begin_command().is_some());
+    clients.shared.request_stop();
+    let over = clients.shared.stop_deadline() + clients.shared.limits.cut.as_secs_f64() * 1000.0;
     while clients.shared.clock.now() < over {}
     let ends = (0..100).any(|_| {
         clients.accept();
--- a/crates/router/src/client_reader.rs
+++ b/crates/router/src/client_reader.rs
@@ -1,10 +1,10 @@
 //! Takes commands in: what one client has written, read as far as it goes without waiting, framed, checked and
 //! handed on. The clients' loop (`client_loop.rs`) calls it when there may be something to read or a time is up.
 
-use crate::admit::Names;
+use crate::client::Client;
 use crate::event::{Event, Statement};
-use crate::relay::Client;
-use crate::shared::{Held, Shared};
+use crate::op_facts::OpFactsParser;
+use crate::shared::{MemoryReservation, Shared};
 use crossbeam_channel::Sender;
 use magpiewell_pg::{frame, say};
 use std::io::{ErrorKind, Read};
@@ -24,13 +24,13 @@
 
 pub struct Reader {
     shared: Arc<Shared>,
-    names: Arc<Names>,
+    names: Arc<OpFactsParser>,
     events: Sender<Event>,
     pub client: Arc<Client>,
     /// What has been read and not been taken: part of a message, or whole ones that wait for answers before them.
     buf: Vec<u8>,
     /// Room for a long message, while one is half there.
-    held: Option<Held>,
+    held: Option<MemoryReservation>,
     opened: bool,
     /// Commands are passed over up to the next Sync.
     skipping: bool,
@@ -76,7 +76,7 @@
 impl Reader {
     pub fn new(
         shared: &Arc<Shared>,
-        names: &Arc<Names>,
+        names: &Arc<OpFactsParser>,
         events: &Sender<Event>,
         client: Arc<Client>,
     ) -> Reader {
@@ -265,9 +265,9 @@
     /// What it asked and was not answered yet is owed to nobody.
     pub fn cut_off(&mut self) -> Turn {
         if self.client.pending.load(Acquire) > 0 {
-            drop(self.events.send(Event::Left { client: self.client.no }));
+            drop(self.events.send(Event::Left { client: self.client.id }));
         }
-        self.client.break_off();
+        self.client.abort();
         Turn::Gone
     }
 
@@ -323,7 +323,7 @@
             self.held = None;
         } else if self.held.is_none() {
             // Many clients with half a long message each must not fill the memory.
-            self.held = Some(self.shared.hold(self.shared.limits.message_bytes).ok_or(Gone)?);
+            self.held = Some(self.shared.try_reserve(self.shared.limits.message_bytes).ok_or(Gone)?);
         }
         if self.opened {
             // A command that has begun must end; between commands a client may take its time.
@@ -419,17 +419,17 @@
             reply.extend_from_slice(&say::READY);
             return self.reply(reply);
         }
-        let facts = match self.names.admit(text) {
+        let facts = match self.names.parse(text) {
             Ok(facts) => facts,
             Err(why) => return self.wrong("42601", &why),
         };
-        let Some(held) = self.shared.hold(text.len() + self.shared.limits.read_bytes) else {
+        let Some(held) = self.shared.try_reserve(text.len() + self.shared.limits.read_bytes) else {
             return self.wrong("53300", "too much is held already");
         };
         self.faults = 0;
         self.asks = true;
         let seq = self.enter()?;
-        let (writes, wait_at) = (facts.writes, facts.wait_at.clone());
+        let (writes, wait_at) = (facts.writes, facts.client_timeout_range.clone());
         let statement = Statement { text: text.as_bytes().to_vec(), writes, wait_at, held };
         let event = Event::Arrived {
             client: self.client.clone(),
@@ -441,7 +441,7 @@
         self.events.send(event).map_err(|_| Gone)?;
         // Who is told to come back later and never waits costs more than the ops that it is refused. Outside it
         // waits until there is time to let it in.
-        let early = taken < self.client.told.load(Relaxed) as f64 && self.shared.short.load(Relaxed);
+        let early = taken < self.client.retry_at.load(Relaxed) as f64 && self.shared.short.load(Relaxed);
         self.early += usize::from(early);
         // What has arrived behind this is still taken: dropped, it would be an op without an answer.
         self.leaving |= self.early >= self.shared.limits.early;
@@ -449,12 +449,12 @@
     }
 
     fn enter(&self) -> Result<u64, Over> {
-        self.client.enter().ok_or(Gone)
+        self.client.begin_command().ok_or(Gone)
     }
 
     fn reply(&self, bytes: Vec<u8>) -> Result<(), Over> {
         let seq = self.enter()?;
-        let held = self.shared.keep(bytes.len());
+        let held = self.shared.reserve(bytes.len());
         self.client.answer(seq, bytes, held);
         Ok(())
     }
--- a/crates/router/src/event.rs
+++ b/crates/router/src/event.rs
@@ -1,15 +1,15 @@
 //! What the stages tell the decision thread, and the statement that travels with an op. Knows no stage.
 
-use crate::admit::Facts;
 use crate::answer::Result;
-use crate::relay::Client;
-use crate::shared::Held;
+use crate::client::Client;
+use crate::op_facts::OpFacts;
+use crate::shared::MemoryReservation;
 use std::ops::Range;
 use std::sync::Arc;
 
 pub enum Event {
     /// A client's op, taken whole at a time on the router's clock.
-    Arrived { client: Arc<Client>, seq: u64, facts: Box<Facts>, statement: Arc<Statement>, taken: f64 },
+    Arrived { client: Arc<Client>, seq: u64, facts: Box<OpFacts>, statement: Arc<Statement>, taken: f64 },
     /// A client has gone and left commands open.
     Left { client: u64 },
     /// A connection's job is over.
@@ -32,5 +32,5 @@
     pub writes: bool,
     pub wait_at: Range<usize>,
     #[allow(dead_code, reason = "counts as held until dropped")]
-    pub held: Held,
+    pub held: MemoryReservation,
 }
--- a/crates/router/src/hosts.rs
+++ b/crates/router/src/hosts.rs
@@ -72,7 +72,7 @@
     pub fn run(mut self) {
         let mut events = Events::with_capacity(self.shared.limits.events);
         loop {
-            self.shared.gather();
+            self.shared.pause_to_batch();
             let wait = self.timers.next().map(|due| self.shared.clock.until(due));
             // The decision thread's end wakes nobody.
             let wait = wait.unwrap_or(self.shared.limits.idle_check).min(self.shared.limits.idle_check);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,8 @@
 //! magpiewell as a router on sockets: clients and hosts speak PostgreSQL's protocol, the list HTTP. The program, tests
 //! and tools start one with [`run`].
 
-mod admit;
 mod answer;
+mod client;
 mod client_loop;
 mod client_reader;
 mod clock;
@@ -13,9 +13,9 @@
 mod limits;
 mod list;
 mod observer;
+mod op_facts;
 mod pool;
 mod probe;
-mod relay;
 mod route;
 mod send;
 mod shared;
@@ -27,7 +27,7 @@
 use magpiewell_terms::start::{self, Start};
 use magpiewell_terms::tier::TierTerms;
 use serde_json::Value;
-pub use shared::Staged;
+pub use shared::LabOverrides;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -81,7 +81,7 @@
     let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
     let (start, whole) = start::read(&text).map_err(|e| format!("{path}: {e}"))?;
     if let Some(known) = &start.known {
-        list::entries(known, &[], |_, _, _, _| ()).map_err(|e| format!("key 'known': {e}"))?;
+        list::parse_entries(known, &[], |_, _, _, _| ()).map_err(|e| format!("key 'known': {e}"))?;
     }
     Ok((start, whole))
 }
@@ -135,11 +135,11 @@
 /// Runs a router with the configuration that the environment names, until a signal asks it to stop and all that was
 /// taken is answered. An error is one line that names the key, the file or the address at fault.
 pub fn run(options: Options) -> Result<(), String> {
-    run_staged(options, Staged::default())
+    run_with_overrides(options, LabOverrides::default())
 }
 
 /// The same with what the laboratory adds.
-pub fn run_staged(options: Options, staged: Staged) -> Result<(), String> {
+pub fn run_with_overrides(options: Options, overrides: LabOverrides) -> Result<(), String> {
     // Caught before anything slow: a signal that nobody catches ends the router.
     let mut signals = signals::catch()?;
     let level = log_level()?;
@@ -163,8 +163,8 @@
     let (wakeups, wakeup) = unbounded();
     let poll = mio::Poll::new().map_err(|e| format!("cannot watch clients: {e}"))?;
     let wake = mio::Waker::new(poll.registry(), client_loop::WAKE).map_err(|e| e.to_string())?;
-    let clock = clock::Clock::start(staged.clock_off_ms);
-    let shared = shared::Shared::new(limits, staged, clock, wakeups, wake);
+    let clock = clock::Clock::start(overrides.clock_off_ms);
+    let shared = shared::Shared::new(limits, overrides, clock, wakeups, wake);
     let (hosts, orders) =
         hosts::new(&shared, events.clone()).map_err(|e| format!("cannot watch hosts: {e}"))?;
     let peers = match &tier {
@@ -177,7 +177,7 @@
         );
     }
     let (peers, observations) = peers.unzip();
-    let names = Arc::new(admit::Names::new(&start.fields, shared.limits.wait_most_ms));
+    let names = Arc::new(op_facts::OpFactsParser::new(&start.fields, shared.limits.wait_most_ms));
     let mut router = route::Router::new(
         shared.clone(),
         start.terms,
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -181,7 +181,7 @@
 
 /// The least that a configuration can say, for tests.
 #[cfg(test)]
-pub const START: &[u8] = br#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
+pub const MINIMAL_CONFIGURATION: &[u8] = br#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
     "limits":{"memory_mb":32,"sockets":256},"settings":{"balancers":1,"tick_s":0.005,"discovery":"automatic",
     "classes":[],"extra":{"behind":"refuse","read_level":[],"staleness_bound_s":[]},"limits":{"max_attempts":1},
     "rules":{"drain_grace_s":1,"cold_from":1,"cold_s":1,"fall_multiple":1,"fall_s":1}}}"#;
--- a/crates/router/src/limits/tests.rs
+++ b/crates/router/src/limits/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn limits(op_timeout_s: f64) -> Limits {
-    let start = String::from_utf8(START.to_vec()).unwrap();
+    let start = String::from_utf8(MINIMAL_CONFIGURATION.to_vec()).unwrap();
     let class = format!(
         r#""classes":[{{"name":"look","effect":"free","deadline_s":{op_timeout_s},"goal_time_s":1,"value":1}}]"#
     );
@@ -47,7 +47,7 @@
 #[test]
 fn all_descriptors_together_keep_to_the_grant() {
     for sockets in [64, 100, 128, 512, 544, 672, 1024, 65_536] {
-        let start = String::from_utf8(START.to_vec()).unwrap();
+        let start = String::from_utf8(MINIMAL_CONFIGURATION.to_vec()).unwrap();
         let start = start.replace(r#""sockets":256"#, &format!(r#""sockets":{sockets}"#));
         let start = start.replace(r#""memory_mb":32"#, r#""memory_mb":100000"#);
         let l = Limits::new(&magpiewell_terms::start::read(start.as_bytes()).unwrap().0);
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -11,11 +11,11 @@
 use std::time::Instant;
 
 /// What the list brings: a page, or that a call failed.
-pub type News = Option<Value>;
+pub type ListUpdate = Option<Value>;
 
 /// Reads a page; each host goes straight into the call: id, address, the group's name, and what else is said of it (its
 /// group's number is left at 0). Zones go by their place among these names.
-pub fn entries(
+pub fn parse_entries(
     page: &Value,
     zones: &[String],
     mut take: impl FnMut(&str, SocketAddr, u64, Entry),
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-pub fn is_whole(page: &Value) -> bool {
+pub fn is_complete(page: &Value) -> bool {
     page.get("full").and_then(Value::as_bool).unwrap_or(false)
 }
 
@@ -58,7 +58,7 @@
 pub struct Watches {
     shared: Arc<Shared>,
     events: Sender<Event>,
-    news: Sender<News>,
+    news: Sender<ListUpdate>,
     /// Taken where the module wants a call before its time has come.
     again: Receiver<()>,
     present: Mutex<Present>,
@@ -76,7 +76,7 @@
     pub fn new(
         shared: Arc<Shared>,
         events: Sender<Event>,
-        news: Sender<News>,
+        news: Sender<ListUpdate>,
         again: Receiver<()>,
     ) -> Arc<Watches> {
         Arc::new(Watches { shared, events, news, again, present: Mutex::default() })
@@ -106,7 +106,7 @@
     }
 
     /// Hands news on; false where another address has taken over.
-    fn tell(&self, turn: u64, page: News) -> bool {
+    fn tell(&self, turn: u64, page: ListUpdate) -> bool {
         let present = self.present();
         if present.turn != turn {
             return false;
@@ -200,7 +200,7 @@
             match written.and_then(|()| read(&mut stream, until, limits.list_bytes, limits.read_bytes)) {
                 Ok((page, keep)) => {
                     let page: Value = serde_json::from_slice(&page).map_err(|e| format!("no JSON: {e}"))?;
-                    entries(&page, &[], |_, _, _, _| ())?;
+                    parse_entries(&page, &[], |_, _, _, _| ())?;
                     *line = keep.then_some(stream);
                     return Ok(page);
                 }
--- a/crates/router/src/list/tests.rs
+++ b/crates/router/src/list/tests.rs
@@ -9,7 +9,7 @@
     let page = |bytes: &[u8], ended: bool| {
         let (body, _) = answer(bytes, ended).ok()??;
         let page: Value = serde_json::from_slice(&body).ok()?;
-        entries(&page, &[], |_, _, _, _| ()).is_ok().then_some(page)
+        parse_entries(&page, &[], |_, _, _, _| ()).is_ok().then_some(page)
     };
     for body in [compact, &indented] {
         let ok = "HTTP/1.1 200 OK\r\n";
@@ -42,7 +42,7 @@
 fn without_a_thread_for_a_new_address_the_old_one_stays() {
     let (events, news) = (crossbeam_channel::unbounded().0, crossbeam_channel::unbounded().0);
     // More than a process has room for.
-    let shared = crate::shared::with(|limits| limits.stack_bytes = 1 << 47);
+    let shared = crate::shared::test_shared_with(|limits| limits.stack_bytes = 1 << 47);
     let watches = Watches::new(shared, events, news, crossbeam_channel::bounded(1).1);
     let (old, new) = ("127.0.0.1:1".parse().unwrap(), "127.0.0.1:2".parse().unwrap());
     *watches.present() = Present { turn: 7, at: Some(old), stream: None };
@@ -56,7 +56,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let (events, news) = (crossbeam_channel::unbounded().0, crossbeam_channel::unbounded().0);
-    let watches = Watches::new(crate::shared::empty(), events, news, crossbeam_channel::bounded(1).1);
+    let watches = Watches::new(crate::shared::test_shared(), events, news, crossbeam_channel::bounded(1).1);
     let (old, new) = (TcpStream::connect(at).unwrap(), TcpStream::connect(at).unwrap());
     *watches.present() = Present { turn: 2, at: Some(at), stream: None };
     assert!(watches.waits_on(2, &new));
--- a/crates/router/src/admit.rs
+++ b/crates/router/src/op_facts.rs
@@ -7,7 +7,7 @@
 use std::ops::Range;
 
 /// What ops may say, as the settings name it.
-pub struct Names {
+pub struct OpFactsParser {
     types: HashMap<String, usize>,
     tenants: HashMap<String, usize>,
     sessions: Vec<bool>,
@@ -18,26 +18,26 @@
 }
 
 /// What a statement says of its op.
-pub struct Facts {
+pub struct OpFacts {
     /// The op's own id, as a number; no two open ops have the same.
     pub id: u64,
-    pub kind: usize,
+    pub op_type: usize,
     pub tenant: usize,
     pub cluster: u64,
     pub session: u64,
-    pub wait_ms: f64,
+    pub client_timeout_ms: f64,
     /// Commit of the session's last write, as Unix ms.
     pub after: Option<f64>,
-    pub repeat: Option<bool>,
+    pub is_retry: Option<bool>,
     pub writes: bool,
     /// Where the wait stands in the statement.
-    pub wait_at: Range<usize>,
+    pub client_timeout_range: Range<usize>,
 }
 
-impl Names {
-    pub fn new(fields: &Fields, wait_most_ms: f64) -> Names {
+impl OpFactsParser {
+    pub fn new(fields: &Fields, wait_most_ms: f64) -> OpFactsParser {
         let index = |names: &[String]| names.iter().cloned().zip(0..).collect();
-        Names {
+        OpFactsParser {
             types: index(&fields.type_names),
             tenants: index(&fields.tenant_names),
             sessions: fields.sessions.clone(),
@@ -49,7 +49,7 @@
     }
 
     /// The facts, or what is wrong with the statement.
-    pub fn admit(&self, text: &str) -> Result<Facts, String> {
+    pub fn parse(&self, text: &str) -> Result<OpFacts, String> {
         let found = head::statement(text)?;
         let (mut kind, mut tenant, mut cluster, mut wait) = (None, None, None, None);
         let (mut id, mut after, mut repeat, mut token) = (None, None, false, false);
@@ -93,17 +93,17 @@
         if self.tokened[kind] && !token {
             return Err("fact 'k' is missing".into());
         }
-        Ok(Facts {
+        Ok(OpFacts {
             id: number(id.ok_or("fact 'id' is missing")?),
-            kind,
+            op_type: kind,
             tenant: tenant.unwrap_or(0),
             cluster: cluster.ok_or("fact 'cluster' is missing")?,
             session: if self.sessions[kind] { number(&text[found.key]) } else { 0 },
-            wait_ms,
+            client_timeout_ms: wait_ms,
             after,
-            repeat: self.marks_repeats.then_some(repeat),
+            is_retry: self.marks_repeats.then_some(repeat),
             writes: found.writes,
-            wait_at,
+            client_timeout_range: wait_at,
         })
     }
 }
--- a/crates/router/src/pool/tests.rs
+++ b/crates/router/src/pool/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use crate::hosts;
 use crate::send::Work;
-use crate::shared::empty;
+use crate::shared::test_shared;
 
 fn job() -> Job {
     Job { work: Work::Probe, until: 0.0, begin_by: 0.0 }
 }
 
 fn pool() -> Pool {
-    let shared = empty();
+    let shared = test_shared();
     let (_, orders) = hosts::new(&shared, crossbeam_channel::unbounded().0).unwrap();
     Pool::new(shared, orders)
 }
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -1,15 +1,15 @@
 //! Routes ops: the one thread that owns the policy, the ops and the pool's books. It takes events until its
 //! next wake and never waits for a socket; it alone settles which answer is final.
 
-use crate::admit::Facts;
 use crate::answer::Result;
+use crate::client::Client;
 use crate::event::{Event, Statement};
 use crate::hosts::Orders;
-use crate::list::{self, News};
+use crate::list::{self, ListUpdate};
 use crate::observer::{GroupId, HostId, Observer};
+use crate::op_facts::OpFacts;
 use crate::pool::{Pool, Task};
 use crate::probe::Told;
-use crate::relay::Client;
 use crate::send::{CallBack, Job, Work};
 use crate::shared::Shared;
 use crate::tier::ObservationSender;
@@ -103,7 +103,7 @@
         let mut bytes = Vec::new();
         fill(&mut bytes);
         bytes.extend_from_slice(&say::READY);
-        let held = self.shared.keep(bytes.len());
+        let held = self.shared.reserve(bytes.len());
         o.client.answer(o.seq, bytes, held);
         // Ops given up on a beat end here: kept, each would hold its client for ever.
         self.drop_if_over(op);
@@ -122,7 +122,7 @@
         let Some(o) = self.ops.get_mut(&op) else { return };
         o.sends.push(Send { conn: None, begin_by });
         let send = o.sends.len() - 1;
-        self.shared.work_of_a_send();
+        self.shared.simulate_send_work();
         self.send_on(op, send, host);
     }
 
@@ -147,7 +147,7 @@
     fn busy_reply(&mut self, op: OpId, retry_ms: f64) {
         let detail = if retry_ms > 0.0 { format!("{}", retry_ms.ceil()) } else { String::new() };
         if let Some(o) = self.ops.get(&op) {
-            o.client.told.store((self.shared.clock.now() + retry_ms) as u64, Relaxed);
+            o.client.retry_at.store((self.shared.clock.now() + retry_ms) as u64, Relaxed);
         }
         let said = self.answer(op, |to| say::error(to, false, "53300", "busy, try again", &detail));
         self.counts.busy += u64::from(said);
@@ -255,9 +255,9 @@
     pub fn list(&mut self, page: &Value, kept: bool) {
         let now = self.outbox.shared.clock.now();
         let (policy, pool) = (&mut self.policy, &mut self.outbox.pool);
-        policy.list_start(kept || list::is_whole(page), kept);
+        policy.list_start(kept || list::is_complete(page), kept);
         let (zones, groups) = (&self.zones, &mut self.groups);
-        let read = list::entries(page, zones, |id, addr, cluster, mut entry| {
+        let read = list::parse_entries(page, zones, |id, addr, cluster, mut entry| {
             entry.group = pool.group(cluster);
             let host = pool.host(id, addr);
             groups.insert(host, GroupId { index: entry.group, key: cluster as u32 });
@@ -282,7 +282,7 @@
         self.has_too_many_hosts = too_many;
     }
 
-    pub fn run(mut self, events: &Receiver<Event>, news: &Receiver<News>) {
+    pub fn run(mut self, events: &Receiver<Event>, news: &Receiver<ListUpdate>) {
         loop {
             let wait = self.outbox.shared.clock.until(self.outbox.next_beat());
             match events.recv_timeout(wait) {
@@ -307,7 +307,7 @@
             if now >= self.outbox.next_beat() {
                 self.take_news(news);
                 if self.outbox.shared.is_stopping() {
-                    self.policy.ends_by(self.outbox.shared.stop_by());
+                    self.policy.ends_by(self.outbox.shared.stop_deadline());
                 }
                 self.policy.woken(now, &mut self.outbox);
                 self.settle();
@@ -347,13 +347,13 @@
             connections = self.outbox.pool.connections(),
             clients = shared.clients(),
             threads = shared.threads.load(Relaxed),
-            held = shared.held.load(Relaxed),
+            held = shared.reserved_bytes.load(Relaxed),
             "{}",
             if last { "stopped" } else { "figures" }
         );
     }
 
-    fn take_news(&mut self, news: &Receiver<News>) {
+    fn take_news(&mut self, news: &Receiver<ListUpdate>) {
         for page in news.try_iter() {
             match page {
                 Some(page) => self.list(&page, false),
@@ -366,20 +366,20 @@
         let now = self.outbox.shared.clock.now();
         match event {
             // It left while its op waited in the channel.
-            Event::Arrived { client, .. } if client.is_gone() => self.outbox.counts.left += 1,
+            Event::Arrived { client, .. } if client.is_disconnected() => self.outbox.counts.left += 1,
             Event::Arrived { client, seq, facts, statement, taken } => {
                 if !self.outbox.open.insert(facts.id) {
                     // Another op has this id: one of the two could be taken for the other by hosts.
                     let mut bytes = Vec::new();
                     say::error(&mut bytes, false, "55006", "an open op has this id", "");
                     bytes.extend_from_slice(&say::READY);
-                    let held = self.outbox.shared.keep(bytes.len());
+                    let held = self.outbox.shared.reserve(bytes.len());
                     client.answer(seq, bytes, held);
                     return;
                 }
                 self.next_op += 1;
                 let id = self.next_op;
-                let until = (taken + facts.wait_ms).min(self.outbox.shared.stop_by());
+                let until = (taken + facts.client_timeout_ms).min(self.outbox.shared.stop_deadline());
                 let sends = Vec::new();
                 let name = facts.id;
                 let op = Op { name, client, seq, statement, until, answered: false, sends };
@@ -393,7 +393,7 @@
             }
             Event::Left { client } => {
                 let outbox = &self.outbox;
-                let gone = outbox.ops.iter().filter(|(_, o)| o.client.no == client && !o.answered);
+                let gone = outbox.ops.iter().filter(|(_, o)| o.client.id == client && !o.answered);
                 let mut gone: Vec<OpId> = gone.map(|(id, _)| *id).collect();
                 gone.sort_unstable();
                 // All at once, or room that one leaves would go to another of them.
@@ -452,21 +452,21 @@
         }
     }
 
-    fn arrived(&mut self, now: f64, id: OpId, group: usize, patience: f64, facts: &Facts) {
+    fn arrived(&mut self, now: f64, id: OpId, group: usize, patience: f64, facts: &OpFacts) {
         // The commit stands there as a time, and the policy takes how long ago that was.
         let age = |after: f64| (now - after).max(0.001);
         let since = self.carried.then(|| facts.after.map_or(0.0, age));
         let op = Arrival {
             id,
-            kind: facts.kind,
+            kind: facts.op_type,
             group,
             tenant: facts.tenant,
             session: facts.session,
             patience,
             since_write: since,
-            repeat: facts.repeat,
+            repeat: facts.is_retry,
             longer: 0.0,
-            op_timeout: self.timeouts_ms[facts.kind],
+            op_timeout: self.timeouts_ms[facts.op_type],
         };
         self.policy.op_arrived(now, &mut self.outbox, op);
     }
--- a/crates/router/src/route/tests.rs
+++ b/crates/router/src/route/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::admit::Names;
-use crate::shared::empty;
+use crate::op_facts::OpFactsParser;
+use crate::shared::test_shared;
 
 /// Its ops once took their turn in the channel, and left, though the news that it had gone stood right behind them.
 #[test]
 fn an_op_whose_client_left_while_it_waited_in_the_channel_is_dropped() {
-    let start = String::from_utf8(crate::limits::START.to_vec()).unwrap();
+    let start = String::from_utf8(crate::limits::MINIMAL_CONFIGURATION.to_vec()).unwrap();
     let class = r#""classes":[{"name":"look","effect":"free","deadline_s":1,"goal_time_s":1,"value":1}]"#;
     let start = start.replace(r#""classes":[]"#, class);
     let start = start.replace(
@@ -13,8 +13,8 @@
         r#""read_level":["any"],"staleness_bound_s":[0]"#,
     );
     let start = magpiewell_terms::start::read(start.as_bytes()).unwrap().0;
-    let names = Names::new(&start.fields, 1_000.0);
-    let shared = empty();
+    let names = OpFactsParser::new(&start.fields, 1_000.0);
+    let shared = test_shared();
     let (_hosts, orders) = crate::hosts::new(&shared, crossbeam_channel::unbounded().0).unwrap();
     let ask_list = crossbeam_channel::bounded(1).0;
     let mut router = Router::new(shared.clone(), start.terms, &start.fields, 1, ask_list, orders, None);
@@ -23,12 +23,12 @@
         let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let client = Client::new(&shared, no, stream);
         let text = format!("SELECT v FROM records WHERE k = 'k' /* id={no},c=look,d=900,cluster=3 */");
-        let facts = Box::new(names.admit(&text).unwrap());
+        let facts = Box::new(names.parse(&text).unwrap());
         let statement =
-            Statement { text: text.into_bytes(), writes: false, wait_at: 0..0, held: shared.keep(0) };
-        let seq = client.enter().unwrap();
+            Statement { text: text.into_bytes(), writes: false, wait_at: 0..0, held: shared.reserve(0) };
+        let seq = client.begin_command().unwrap();
         if left {
-            client.break_off();
+            client.abort();
         }
         let taken = shared.clock.now();
         router.take(Event::Arrived { client, seq, facts, statement: Arc::new(statement), taken });
--- a/crates/router/src/send/tests.rs
+++ b/crates/router/src/send/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::shared::empty;
+use crate::shared::test_shared;
 use std::io::Write;
 use std::net::TcpListener;
 
@@ -34,7 +34,7 @@
 /// A connection that opened late once carried a repeat past the time that drops repeats.
 #[test]
 fn what_may_begin_no_more_by_the_time_its_connection_opens_is_not_written() {
-    let shared = empty();
+    let shared = test_shared();
     for late in [true, false] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
@@ -89,13 +89,14 @@
 }
 
 fn write_of(shared: &Arc<Shared>, bytes: usize) -> Job {
-    let statement = Statement { text: vec![b'x'; bytes], writes: true, wait_at: 0..0, held: shared.keep(0) };
+    let statement =
+        Statement { text: vec![b'x'; bytes], writes: true, wait_at: 0..0, held: shared.reserve(0) };
     Job { work: Work::Op(Arc::new(statement)), ..job(shared, 60_000.0) }
 }
 
 /// A connection that carries a job, and its host's end.
 fn carrying(job: Job, line: &Arc<Line>) -> (Connection, TcpStream) {
-    let shared = empty();
+    let shared = test_shared();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let mut connection = Connection::dial(&shared, at, line.clone(), job).ok().unwrap();
@@ -112,7 +113,7 @@
 /// The last byte settles whether a write may have run.
 #[test]
 fn a_reset_before_the_last_byte_has_run_nothing_and_one_behind_it_may_have() {
-    let shared = empty();
+    let shared = test_shared();
     for (bytes, read, expected) in [
         (64 << 20, 0, Ending::Unreached),
         (64 << 20, 1 << 20, Ending::Unreached),
@@ -135,7 +136,7 @@
 /// What had come before a send was called back is told: it may have been a commit.
 #[test]
 fn an_answer_that_was_there_as_its_send_was_called_back_is_told() {
-    let (shared, line) = (empty(), Arc::<Line>::default());
+    let (shared, line) = (test_shared(), Arc::<Line>::default());
     let (mut connection, mut host) = carrying(write_of(&shared, 100), &line);
     let mut said = Vec::new();
     say::welcome(&mut said);
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -14,7 +14,7 @@
 /// What the laboratory's own program adds to a router, so that a test's verdict does not hang on the machine; nothing
 /// by default, and no configuration can ask for it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Staged {
+pub struct LabOverrides {
     /// Processor time that each send of an op takes on top of its own, in ms, from 0.
     pub send_work_ms: f64,
     /// The router's clock runs so many ms before the machine's; behind it where negative.
@@ -23,20 +23,20 @@
 
 pub struct Shared {
     pub limits: Limits,
-    pub staged: Staged,
+    pub overrides: LabOverrides,
     pub clock: Clock,
     /// A list of hosts is known.
     pub ready: AtomicBool,
     /// How long the loops sleep between two turns, in microseconds: see the budget's `Room`.
-    pub gather_us: AtomicU64,
+    pub batch_pause_us: AtomicU64,
     /// Ops refused as busy since the start.
     pub refused: AtomicUsize,
     /// Processor time is short.
     pub short: AtomicBool,
     /// When all that is taken must be answered, in whole ms on the clock; far off until a request to stop.
-    stop_by: AtomicU64,
+    stop_deadline: AtomicU64,
     pub threads: AtomicUsize,
-    pub held: AtomicUsize,
+    pub reserved_bytes: AtomicUsize,
     /// Client connections whose descriptors are open.
     clients: AtomicUsize,
     wakeups: Sender<u64>,
@@ -47,22 +47,22 @@
     /// `wakeups` takes numbers of clients that their loop is to look at; `waker` wakes it.
     pub fn new(
         limits: Limits,
-        staged: Staged,
+        overrides: LabOverrides,
         clock: Clock,
         wakeups: Sender<u64>,
         waker: Waker,
     ) -> Arc<Shared> {
         Arc::new(Shared {
             limits,
-            staged,
+            overrides,
             clock,
             ready: AtomicBool::new(false),
-            gather_us: AtomicU64::new(0),
+            batch_pause_us: AtomicU64::new(0),
             refused: AtomicUsize::new(0),
             short: AtomicBool::new(false),
-            stop_by: AtomicU64::new(u64::MAX),
+            stop_deadline: AtomicU64::new(u64::MAX),
             threads: AtomicUsize::new(0),
-            held: AtomicUsize::new(0),
+            reserved_bytes: AtomicUsize::new(0),
             clients: AtomicUsize::new(0),
             wakeups,
             waker,
@@ -70,55 +70,55 @@
     }
 
     /// The router was asked to stop.
-    pub fn stop_from_now(&self) {
+    pub fn request_stop(&self) {
         let by = self.clock.now() + self.limits.stop.as_secs_f64() * 1000.0;
-        self.stop_by.store(by as u64, Release);
+        self.stop_deadline.store(by as u64, Release);
         let _ = self.waker.wake();
     }
 
     /// When all that is taken must be answered; far off while nobody has asked to stop.
-    pub fn stop_by(&self) -> f64 {
-        self.stop_by.load(Acquire) as f64
+    pub fn stop_deadline(&self) -> f64 {
+        self.stop_deadline.load(Acquire) as f64
     }
 
     /// A stop has been asked for.
     pub fn is_stopping(&self) -> bool {
-        self.stop_by.load(Acquire) != u64::MAX
+        self.stop_deadline.load(Acquire) != u64::MAX
     }
 
     /// That long after a request to stop.
-    pub fn stopping_since(&self, after: std::time::Duration) -> f64 {
-        self.stop_by() - (self.limits.stop.saturating_sub(after)).as_secs_f64() * 1000.0
+    pub fn after_stop_request(&self, after: std::time::Duration) -> f64 {
+        self.stop_deadline() - (self.limits.stop.saturating_sub(after)).as_secs_f64() * 1000.0
     }
 
     pub fn clients(&self) -> usize {
         self.clients.load(Relaxed)
     }
 
-    /// Counts a client whose descriptor is open, until `client_left`.
-    pub fn client_came(&self) {
+    /// Counts a client whose descriptor is open, until `client_closed`.
+    pub fn client_opened(&self) {
         self.clients.fetch_add(1, Relaxed);
     }
 
-    pub fn client_left(&self) {
+    pub fn client_closed(&self) {
         self.clients.fetch_sub(1, Relaxed);
     }
 
     /// Uses up the processor time that a send takes in the laboratory.
-    pub fn work_of_a_send(&self) {
+    pub fn simulate_send_work(&self) {
         let used = || {
             let used = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
             used.tv_sec as f64 * 1e3 + used.tv_nsec as f64 / 1e6
         };
-        if self.staged.send_work_ms > 0.0 {
+        if self.overrides.send_work_ms > 0.0 {
             let from = used();
-            while used() - from < self.staged.send_work_ms {}
+            while used() - from < self.overrides.send_work_ms {}
         }
     }
 
     /// Where processor time is getting short: lets work come together before a loop goes on.
-    pub fn gather(&self) {
-        let us = self.gather_us.load(Relaxed);
+    pub fn pause_to_batch(&self) {
+        let us = self.batch_pause_us.load(Relaxed);
         if us > 0 {
             std::thread::sleep(std::time::Duration::from_micros(us));
         }
@@ -151,42 +151,43 @@
     }
 
     /// Counts bytes as held until the share is dropped; none where there would be too many.
-    pub fn hold(self: &Arc<Shared>, bytes: usize) -> Option<Held> {
-        let held = self.keep(bytes);
-        (self.held.load(Relaxed) <= self.limits.held_bytes).then_some(held)
+    pub fn try_reserve(self: &Arc<Shared>, bytes: usize) -> Option<MemoryReservation> {
+        let held = self.reserve(bytes);
+        (self.reserved_bytes.load(Relaxed) <= self.limits.held_bytes).then_some(held)
     }
 
     /// Counts bytes that are here already, be there too many or not.
-    pub fn keep(self: &Arc<Shared>, bytes: usize) -> Held {
-        self.held.fetch_add(bytes, Relaxed);
-        Held { shared: self.clone(), bytes }
+    pub fn reserve(self: &Arc<Shared>, bytes: usize) -> MemoryReservation {
+        self.reserved_bytes.fetch_add(bytes, Relaxed);
+        MemoryReservation { shared: self.clone(), bytes }
     }
 }
 
 /// A share of the bytes held at once.
-pub struct Held {
+pub struct MemoryReservation {
     shared: Arc<Shared>,
     bytes: usize,
 }
 
-impl Drop for Held {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.shared.held.fetch_sub(self.bytes, Relaxed);
+        self.shared.reserved_bytes.fetch_sub(self.bytes, Relaxed);
     }
 }
 
 /// A shared for tests of what works in it.
 #[cfg(test)]
-pub fn empty() -> Arc<Shared> {
-    with(|_| ())
+pub fn test_shared() -> Arc<Shared> {
+    test_shared_with(|_| ())
 }
 
 /// The same with other limits.
 #[cfg(test)]
-pub fn with(change: impl FnOnce(&mut Limits)) -> Arc<Shared> {
-    let mut limits = Limits::new(&magpiewell_terms::start::read(crate::limits::START).unwrap().0);
+pub fn test_shared_with(change: impl FnOnce(&mut Limits)) -> Arc<Shared> {
+    let mut limits =
+        Limits::new(&magpiewell_terms::start::read(crate::limits::MINIMAL_CONFIGURATION).unwrap().0);
     change(&mut limits);
     let poll = mio::Poll::new().unwrap();
     let waker = Waker::new(poll.registry(), mio::Token(0)).unwrap();
-    Shared::new(limits, Staged::default(), Clock::start(0.0), crossbeam_channel::unbounded().0, waker)
+    Shared::new(limits, LabOverrides::default(), Clock::start(0.0), crossbeam_channel::unbounded().0, waker)
 }
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -18,5 +18,5 @@
         *signal != SIGHUP
     });
     tracing::info!(signal, clients = shared.clients(), "asked to stop");
-    shared.stop_from_now();
+    shared.request_stop();
 }
--- a/crates/router/src/tests.rs
+++ b/crates/router/src/tests.rs
@@ -4,7 +4,7 @@
 /// Small answers that the system holds back go with a connection that closes.
 #[test]
 fn whoever_is_let_in_gets_answers_without_delay() {
-    let limits = limits::Limits::new(&start::read(limits::START).unwrap().0);
+    let limits = limits::Limits::new(&start::read(limits::MINIMAL_CONFIGURATION).unwrap().0);
     let listener = listen("127.0.0.1:0".parse().unwrap(), &limits).unwrap();
     let _ours = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let accepted = std::iter::repeat_with(|| listener.accept()).find_map(Result::ok).unwrap().0;
