--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,6 +1,7 @@
 //! Processor time as a resource, like memory and descriptors: what is granted, what is used, and what may be let
 //! in for the rest. No I/O and no clock: the clients' loop tells on every beat what the process has used, and
-//! carries out what [`Room`] says. Which op is refused is not settled here: the decision module gets the share.
+//! carries out what [`AdmissionLimits`] says. Which
+//! op is refused is not settled here: the decision module gets the share.
 //!
 //! The cheapest work goes first. A connection that waits in the system's queue costs nothing, so opening gives way
 //! before ops do and comes back after them; those who ignore the time to come back are shown out while time is
@@ -39,29 +40,29 @@
 
 /// Which work gives way at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Mode {
+pub enum SheddingMode {
     /// Nothing does.
     #[default]
-    Ample,
+    Off,
     /// Connections wait to be opened.
-    Opens,
+    DelayConnections,
     /// Some ops are refused, too.
-    Ops,
+    RefuseOps,
 }
 
 /// What may be let in until the next beat.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
-    pub mode: Mode,
+pub struct AdmissionLimits {
+    pub mode: SheddingMode,
     /// How long a loop sleeps between two turns, so that there is more to do in each; 0 to 12 ms.
-    pub gather_ms: f64,
+    pub batch_delay_ms: f64,
     /// Connections that may be opened, a second; infinite where nothing is short.
-    pub opens: f64,
+    pub accepts_per_second: f64,
     /// Share of the ops that may be taken, from 0.05 to 1.
-    pub share: f64,
+    pub admitted_share: f64,
     /// A refused op's time to come back, in ms, to be spread from half of it to one and a half; 0 where none need
     /// be named.
-    pub come_back_ms: f64,
+    pub retry_after_ms: f64,
 }
 
 /// The state machine; one a router.
@@ -78,9 +79,9 @@
     load: f64,
     gather: f64,
     opens: f64,
-    share: f64,
+    admitted_share: f64,
     back: f64,
-    mode: Mode,
+    mode: SheddingMode,
 }
 
 impl Budget {
@@ -90,8 +91,19 @@
         let opens_most = cores * 1000.0 / open_ms;
         let refusals_most = REFUSING * cores * 1000.0 / refuse_ms;
         let back = BACK_LEAST_MS;
-        let (load, gather, opens, share, mode) = (0.0, 0.0, 1.0, 1.0, Mode::Ample);
-        Budget { cores, opens_most, refusals_most, last: None, load, gather, opens, share, back, mode }
+        let (load, gather, opens, admitted_share, mode) = (0.0, 0.0, 1.0, 1.0, SheddingMode::Off);
+        Budget {
+            cores,
+            opens_most,
+            refusals_most,
+            last: None,
+            load,
+            gather,
+            opens,
+            admitted_share,
+            back,
+            mode,
+        }
     }
 
     /// Use as a part of the grant, averaged over the last moments: 0 to about 1.
@@ -102,7 +114,7 @@
     /// One beat: the time, the processor time that the process has used, both in ms, and how many ops were refused,
     /// all since its start. Beats may come late, as a process is stopped at its limit; one that goes backwards in
     /// time is passed over.
-    pub fn beat(&mut self, now: f64, used: f64, refused: usize) -> Room {
+    pub fn update(&mut self, now: f64, used: f64, refused: usize) -> AdmissionLimits {
         let (then, before, told) = *self.last.get_or_insert((now, used, refused));
         let spent = now - then;
         if spent >= 1.0 {
@@ -114,11 +126,11 @@
             let steps = (spent / STEP_MS).min(4.0);
             self.step(steps);
             let rate = refused.saturating_sub(told) as f64 * 1000.0 / spent;
-            let often = self.share < 1.0 && rate > self.refusals_most;
+            let often = self.admitted_share < 1.0 && rate > self.refusals_most;
             let factor = if often { BACK_RISE } else { 1.0 / BACK_RISE };
             self.back = (self.back * factor.powf(steps)).clamp(BACK_LEAST_MS, BACK_MOST_MS);
         }
-        self.room()
+        self.admission_limits()
     }
 
     fn step(&mut self, steps: f64) {
@@ -134,44 +146,44 @@
             if self.opens > LEAST_OPENS {
                 self.opens = (self.opens * fall.powf(OPENS_FASTER * steps)).max(LEAST_OPENS);
             } else {
-                self.share = (self.share * fall.powf(steps)).max(LEAST_SHARE);
+                self.admitted_share = (self.admitted_share * fall.powf(steps)).max(LEAST_SHARE);
             }
         } else {
             let rise = 1.0 - RISE * over + RISE_FAST * (GONE - self.load).max(0.0);
-            let whole = self.share >= 1.0;
-            self.share = (self.share * rise.powf(steps)).min(1.0);
+            let whole = self.admitted_share >= 1.0;
+            self.admitted_share = (self.admitted_share * rise.powf(steps)).min(1.0);
             if whole || self.load < GONE {
                 self.opens = (self.opens * rise.powf(OPENS_FASTER * steps)).min(1.0);
             }
         }
-        self.mode = match (self.share < 1.0, self.opens < 1.0) {
-            (true, _) => Mode::Ops,
-            (false, true) => Mode::Opens,
-            (false, false) => Mode::Ample,
+        self.mode = match (self.admitted_share < 1.0, self.opens < 1.0) {
+            (true, _) => SheddingMode::RefuseOps,
+            (false, true) => SheddingMode::DelayConnections,
+            (false, false) => SheddingMode::Off,
         };
     }
 
     /// What may be let in now.
-    pub fn room(&self) -> Room {
-        let ample = self.mode == Mode::Ample;
-        Room {
+    pub fn admission_limits(&self) -> AdmissionLimits {
+        let ample = self.mode == SheddingMode::Off;
+        AdmissionLimits {
             mode: self.mode,
-            gather_ms: self.gather,
-            opens: if ample { f64::INFINITY } else { (self.opens * self.opens_most).max(1.0) },
-            share: self.share,
-            come_back_ms: if self.share < 1.0 { self.back } else { 0.0 },
+            batch_delay_ms: self.gather,
+            accepts_per_second: if ample { f64::INFINITY } else { (self.opens * self.opens_most).max(1.0) },
+            admitted_share: self.admitted_share,
+            retry_after_ms: if self.admitted_share < 1.0 { self.back } else { 0.0 },
         }
     }
 }
 
-/// How many connections may be opened now: a bucket that `Room::opens` fills.
+/// How many connections may be opened now: a bucket that `AdmissionLimits::accepts_per_second` fills.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Opens {
+pub struct AcceptLimiter {
     left: f64,
     at: f64,
 }
 
-impl Opens {
+impl AcceptLimiter {
     /// True where one may be opened at this time, in ms; it is then counted.
     pub fn take(&mut self, now: f64, a_second: f64) -> bool {
         if a_second.is_infinite() {
@@ -199,30 +211,40 @@
     }
 
     /// Beats of 50 ms at this part of the grant.
-    fn beats(budget: &mut Budget, from: &mut (f64, f64), part: f64, count: usize) -> Room {
+    fn beats(budget: &mut Budget, from: &mut (f64, f64), part: f64, count: usize) -> AdmissionLimits {
         for _ in 0..count {
             *from = (from.0 + 50.0, from.1 + 50.0 * budget.cores * part);
-            budget.beat(from.0, from.1, from.0 as usize);
+            budget.update(from.0, from.1, from.0 as usize);
         }
-        budget.room()
+        budget.admission_limits()
     }
 
     #[test]
     fn opens_give_way_before_ops_and_all_is_back_a_second_after_the_load_has_gone() {
         let (mut budget, mut at) = (Budget::new(0.2, 0.15, 0.05), (0.0, 0.0));
-        assert_eq!(beats(&mut budget, &mut at, 0.9, 1000).mode, Mode::Ample);
-        assert_eq!(beats(&mut budget, &mut at, 0.3, 200).gather_ms, 0.0);
+        assert_eq!(beats(&mut budget, &mut at, 0.9, 1000).mode, SheddingMode::Off);
+        assert_eq!(beats(&mut budget, &mut at, 0.3, 200).batch_delay_ms, 0.0);
         let gathers = beats(&mut budget, &mut at, 1.0, 12);
-        assert!(gathers.mode == Mode::Ample && gathers.gather_ms > 0.0, "{gathers:?}");
+        assert!(gathers.mode == SheddingMode::Off && gathers.batch_delay_ms > 0.0, "{gathers:?}");
         let first = beats(&mut budget, &mut at, 1.0, 20);
-        assert!(first.mode == Mode::Opens && first.share == 1.0 && first.opens.is_finite(), "{first:?}");
+        assert!(
+            first.mode == SheddingMode::DelayConnections
+                && first.admitted_share == 1.0
+                && first.accepts_per_second.is_finite(),
+            "{first:?}"
+        );
         let worst = beats(&mut budget, &mut at, 1.0, 400);
-        assert!(worst.mode == Mode::Ops && worst.share > 0.0 && worst.opens >= 1.0, "{worst:?}");
-        assert!(worst.come_back_ms == BACK_MOST_MS);
+        assert!(
+            worst.mode == SheddingMode::RefuseOps
+                && worst.admitted_share > 0.0
+                && worst.accepts_per_second >= 1.0,
+            "{worst:?}"
+        );
+        assert!(worst.retry_after_ms == BACK_MOST_MS);
         // Just at the line it hardly moves.
         let same = beats(&mut budget, &mut at, AIM, 100);
-        assert!(same.share < 1.5 * worst.share, "{same:?}");
-        assert_eq!(beats(&mut budget, &mut at, 0.1, 20).mode, Mode::Ample);
+        assert!(same.admitted_share < 1.5 * worst.admitted_share, "{same:?}");
+        assert_eq!(beats(&mut budget, &mut at, 0.1, 20).mode, SheddingMode::Off);
     }
 
     proptest! {
@@ -236,18 +258,18 @@
             let (mut budget, mut now, mut used) = (Budget::new(0.2, 0.15, 0.05), 0.0, 0.0);
             for (step, more) in beats {
                 (now, used) = (now + step, used + more);
-                let room = budget.beat(now, used, used.abs() as usize);
-                prop_assert!(room.opens >= 1.0 && (LEAST_SHARE..=1.0).contains(&room.share));
-                prop_assert!((0.0..=GATHER_MOST).contains(&room.gather_ms));
-                prop_assert!((0.0..=BACK_MOST_MS).contains(&room.come_back_ms));
-                prop_assert_eq!(room.mode == Mode::Ample, room.share == 1.0 && room.opens.is_infinite());
+                let room = budget.update(now, used, used.abs() as usize);
+                prop_assert!(room.accepts_per_second >= 1.0 && (LEAST_SHARE..=1.0).contains(&room.admitted_share));
+                prop_assert!((0.0..=GATHER_MOST).contains(&room.batch_delay_ms));
+                prop_assert!((0.0..=BACK_MOST_MS).contains(&room.retry_after_ms));
+                prop_assert_eq!(room.mode == SheddingMode::Off, room.admitted_share == 1.0 && room.accepts_per_second.is_infinite());
             }
         }
 
         /// Beside a plain count: never more than the rate and one burst, never held up for ever.
         #[test]
         fn opens_keep_to_their_rate(steps in prop::collection::vec(0.0f64..400.0, 1..200), rate in 1.0f64..500.0) {
-            let (mut opens, mut now, mut taken) = (Opens::default(), 0.0, 0.0);
+            let (mut opens, mut now, mut taken) = (AcceptLimiter::default(), 0.0, 0.0);
             for step in steps {
                 now += step;
                 let burst = (0..10_000).take_while(|_| opens.take(now, rate)).count();
--- a/crates/budget/tests/collapse.rs
+++ b/crates/budget/tests/collapse.rs
@@ -3,7 +3,7 @@
 //! arrivals by a fixed seed. The old way has a thread a connection and refuses only what is late already; the new
 //! one has neither the threads nor the late refusals, and keeps a budget.
 
-use magpiewell_budget::{Budget, Mode, Opens, Room};
+use magpiewell_budget::{AcceptLimiter, AdmissionLimits, Budget, SheddingMode};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::VecDeque;
@@ -61,8 +61,8 @@
     knocks: VecDeque<Item>,
     asks: VecDeque<Item>,
     budget: Budget,
-    room: Room,
-    opens: Opens,
+    room: AdmissionLimits,
+    opens: AcceptLimiter,
     now: f64,
     used: f64,
     cores: f64,
@@ -76,7 +76,7 @@
 impl Model {
     fn new(new_way: bool) -> Model {
         let budget = Budget::new(CORES, OPEN, REFUSE);
-        let room = budget.room();
+        let room = budget.admission_limits();
         Model {
             new_way,
             rng: ChaCha8Rng::seed_from_u64(16),
@@ -85,7 +85,7 @@
             asks: VecDeque::new(),
             budget,
             room,
-            opens: Opens::default(),
+            opens: AcceptLimiter::default(),
             now: 0.0,
             used: 0.0,
             cores: CORES,
@@ -154,7 +154,7 @@
                 break;
             }
             // Those inside and those outside take turns; with a budget, who knocks waits for its turn there.
-            let opens = if self.new_way { self.room.opens } else { f64::INFINITY };
+            let opens = if self.new_way { self.room.accepts_per_second } else { f64::INFINITY };
             let knock = !self.knocks.is_empty() && self.opens.take(self.now, opens);
             if knock {
                 self.open();
@@ -178,7 +178,7 @@
         self.used += used;
         self.now += STEP;
         if self.new_way && ((self.now / STEP) as u64).is_multiple_of(5) {
-            self.room = self.budget.beat(self.now, self.used, self.refused);
+            self.room = self.budget.update(self.now, self.used, self.refused);
         }
     }
 
@@ -218,7 +218,7 @@
             }
             Kind::Good | Kind::Ignores => {
                 let late = self.now - item.since > WAIT - STEP;
-                let shed = self.new_way && lot > room.share;
+                let shed = self.new_way && lot > room.admitted_share;
                 if !late && !shed {
                     self.left -= CARRY;
                     self.served += u32::from(client.kind == Kind::Good);
@@ -227,7 +227,7 @@
                 }
                 self.left -= REFUSE;
                 self.refused += 1;
-                let back = room.come_back_ms * (0.5 + spread);
+                let back = room.retry_after_ms * (0.5 + spread);
                 client.early += u32::from(self.now < client.told);
                 if self.new_way && client.early >= 8 {
                     // Comes too soon again and again: outside it costs nothing.
@@ -339,7 +339,12 @@
     model.add(clients_for(0.7), Kind::Good);
     for _ in 0..2_000 {
         model.step();
-        assert!(model.room.mode == Mode::Ample || model.now < 2_000.0, "{:?} at {}", model.room, model.now);
+        assert!(
+            model.room.mode == SheddingMode::Off || model.now < 2_000.0,
+            "{:?} at {}",
+            model.room,
+            model.now
+        );
     }
     assert_eq!(model.unanswered, 0);
 }
--- a/crates/router/src/client_loop.rs
+++ b/crates/router/src/client_loop.rs
@@ -10,7 +10,7 @@
 use crate::shared::Shared;
 use crate::timers::Timers;
 use crossbeam_channel::{Receiver, Sender};
-use magpiewell_budget::{Budget, Mode, Opens, Room};
+use magpiewell_budget::{AcceptLimiter, AdmissionLimits, Budget, SheddingMode};
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Token};
 use rustix::net::SocketFlags;
@@ -46,8 +46,8 @@
     scratch: Vec<u8>,
     next: u64,
     budget: Budget,
-    room: Room,
-    opens: Opens,
+    room: AdmissionLimits,
+    opens: AcceptLimiter,
     budget_at: f64,
     /// Until when the queue is still looked at; none before the grace is over.
     last_look: Option<f64>,
@@ -69,9 +69,9 @@
         let scratch = vec![0; shared.limits.read_bytes];
         let budget = Budget::new(shared.limits.cores, shared.limits.open_ms, shared.limits.refuse_ms);
         Ok(ClientLoop {
-            room: budget.room(),
+            room: budget.admission_limits(),
             budget,
-            opens: Opens::default(),
+            opens: AcceptLimiter::default(),
             budget_at: 0.0,
             shared,
             names,
@@ -153,23 +153,37 @@
         self.budget_at = now + self.shared.limits.budget_ms;
         let used = rustix::time::clock_gettime(rustix::time::ClockId::ProcessCPUTime);
         let used = used.tv_sec as f64 * 1e3 + used.tv_nsec as f64 / 1e6;
-        let room = self.budget.beat(now, used, self.shared.refused.load(Relaxed));
+        let room = self.budget.update(now, used, self.shared.refused.load(Relaxed));
         let before = std::mem::replace(&mut self.room, room);
-        let Room { mode, gather_ms, opens, share, come_back_ms } = self.room;
-        self.shared.gather_us.store((gather_ms * 1e3) as u64, Relaxed);
-        if (share, come_back_ms) != (before.share, before.come_back_ms) {
-            drop(self.events.send(Event::Carries { share, come_back: come_back_ms }));
+        let AdmissionLimits { mode, batch_delay_ms, accepts_per_second, admitted_share, retry_after_ms } =
+            self.room;
+        self.shared.gather_us.store((batch_delay_ms * 1e3) as u64, Relaxed);
+        if (admitted_share, retry_after_ms) != (before.admitted_share, before.retry_after_ms) {
+            drop(self.events.send(Event::Carries { share: admitted_share, come_back: retry_after_ms }));
         }
         if mode == before.mode {
             return;
         }
-        self.shared.short.store(mode != Mode::Ample, Relaxed);
+        self.shared.short.store(mode != SheddingMode::Off, Relaxed);
         let (load, clients, cores) = (self.budget.load(), self.shared.clients(), self.shared.limits.cores);
         match mode {
-            Mode::Ample => tracing::info!(load, cores, clients, "processor time suffices again"),
-            Mode::Opens => tracing::info!(load, cores, clients, opens, "processor time is short: opens wait"),
-            Mode::Ops => {
-                tracing::info!(load, cores, clients, opens, share, "processor time is short: ops are refused")
+            SheddingMode::Off => tracing::info!(load, cores, clients, "processor time suffices again"),
+            SheddingMode::DelayConnections => tracing::info!(
+                load,
+                cores,
+                clients,
+                opens = accepts_per_second,
+                "processor time is short: opens wait"
+            ),
+            SheddingMode::RefuseOps => {
+                tracing::info!(
+                    load,
+                    cores,
+                    clients,
+                    opens = accepts_per_second,
+                    share = admitted_share,
+                    "processor time is short: ops are refused"
+                )
             }
         }
     }
@@ -251,7 +265,7 @@
             }
             let Some(listener) = &self.listener else { return };
             // A connection in the system's queue costs nothing, an open one does.
-            if !self.opens.take(self.shared.clock.now(), self.room.opens) {
+            if !self.opens.take(self.shared.clock.now(), self.room.accepts_per_second) {
                 return;
             }
             match rustix::net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -27,7 +27,7 @@
     pub clock: Clock,
     /// A list of hosts is known.
     pub ready: AtomicBool,
-    /// How long the loops sleep between two turns, in microseconds: see the budget's `Room`.
+    /// How long the loops sleep between two turns, in microseconds: see the budget's `AdmissionLimits`.
     pub gather_us: AtomicU64,
     /// Ops refused as busy since the start.
     pub refused: AtomicUsize,
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -321,7 +321,7 @@
         // Up to half of the fleet may be in doubt.
         let mut targets = self.members.random_members(2 * count, [local, local]);
         if let Some(evidence) = &self.evidence {
-            targets.retain(|member| !evidence.is_doubtful(now, *member));
+            targets.retain(|member| !evidence.is_in_stale_zone(now, *member));
         }
         targets.truncate(count);
         targets
--- a/crates/tier/src/zones.rs
+++ b/crates/tier/src/zones.rs
@@ -26,7 +26,7 @@
         .then(|| ZoneLimits::for_probe_period(limits.members.probe_period, limits.members.pause_threshold))?;
     let mut map = ZoneMap::new(roster, usize::from(local));
     if let Some(zone) = zone {
-        map.learn_first_hand(local, zone);
+        map.learn_from_member(local, zone);
     }
     Some(ZoneEvidence::new(zone.map(usize::from), map, now, limits))
 }
@@ -46,10 +46,10 @@
     pub(crate) fn learn_zones(&mut self, now: f64, datagram: &Datagram) {
         let Some(evidence) = &mut self.evidence else { return };
         let zone = (datagram.zone != NO_ZONE).then_some(datagram.zone);
-        evidence.heard_member(now, datagram.sender, zone);
+        evidence.observe_member(now, datagram.sender, zone);
         datagram.zone_chunks.iter().for_each(|chunk| evidence.learn_chunk(chunk));
         if let Some(ages) = &datagram.zone_ages {
-            evidence.heard_ages(now, ages);
+            evidence.merge_ages(now, ages);
         }
         let wanted = |batch| WantedChunks { member: datagram.sender, batch };
         self.wanted_chunks = datagram.wanted_batch.map(wanted);
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -66,7 +66,7 @@
     own_zone: Option<usize>,
     map: ZoneMap,
     /// When the latest sign of life of each zone was given.
-    heard_at: [Option<f64>; MAX_ZONES],
+    last_seen_at: [Option<f64>; MAX_ZONES],
     reachability: [Reachability; MAX_ZONES],
     /// No zone is silent before this time: this router has just started, or was stopped.
     trusted_from: f64,
@@ -82,7 +82,7 @@
             limits,
             own_zone: own_zone.filter(|zone| *zone < MAX_ZONES),
             map,
-            heard_at: [None; MAX_ZONES],
+            last_seen_at: [None; MAX_ZONES],
             reachability: [Reachability::default(); MAX_ZONES],
             trusted_from: now + limits.silence,
             ticked_at: None,
@@ -124,32 +124,32 @@
     }
 
     /// A datagram of this member has come, which says its zone.
-    pub fn heard_member(&mut self, now: f64, member: u16, zone: Option<u8>) {
+    pub fn observe_member(&mut self, now: f64, member: u16, zone: Option<u8>) {
         if let Some(zone) = zone {
-            self.map.learn_first_hand(member, zone);
+            self.map.learn_from_member(member, zone);
         }
         if let Some(zone) = self.map.zone(member) {
-            self.heard_zone(zone, now);
+            self.observe_zone(zone, now);
         }
     }
 
     /// Another router tells how old its latest signs of life are.
-    pub fn heard_ages(&mut self, now: f64, ages: &Ages) {
+    pub fn merge_ages(&mut self, now: f64, ages: &Ages) {
         for (zone, age) in ages.iter().enumerate() {
             if let Some(ms) = age.to_ms() {
-                self.heard_zone(zone, now - ms);
+                self.observe_zone(zone, now - ms);
             }
         }
     }
 
-    fn heard_zone(&mut self, zone: usize, at: f64) {
-        let held = &mut self.heard_at[zone];
+    fn observe_zone(&mut self, zone: usize, at: f64) {
+        let held = &mut self.last_seen_at[zone];
         *held = Some(held.map_or(at, |held| held.max(at)));
     }
 
     /// The ages to tell others; this router's own zone is alive as it speaks.
     pub fn ages(&self, now: f64) -> Ages {
-        let mut ages = self.heard_at.map(|at| at.map_or(Age::UNKNOWN, |at| Age::from_ms(now - at)));
+        let mut ages = self.last_seen_at.map(|at| at.map_or(Age::UNKNOWN, |at| Age::from_ms(now - at)));
         if let Some(own) = self.own_zone {
             ages[own] = Age::from_ms(0.0);
         }
@@ -188,7 +188,7 @@
     }
 
     fn is_fresh(&self, zone: usize, now: f64) -> bool {
-        self.heard_at[zone].is_some_and(|at| now - at < self.limits.silence)
+        self.last_seen_at[zone].is_some_and(|at| now - at < self.limits.silence)
     }
 
     fn update(&mut self, zone: usize, now: f64, side: Reachability) -> Option<Change> {
@@ -202,9 +202,9 @@
     }
 
     /// Whether a member's zone has given no sign of life for a while, or is silent: what is sent there may be lost.
-    pub fn is_doubtful(&self, now: f64, member: u16) -> bool {
+    pub fn is_in_stale_zone(&self, now: f64, member: u16) -> bool {
         let Some(zone) = self.map.zone(member) else { return false };
-        let is_old = self.heard_at[zone].is_some_and(|at| now - at >= self.limits.direct_after);
+        let is_old = self.last_seen_at[zone].is_some_and(|at| now - at >= self.limits.direct_after);
         is_old && self.own_zone != Some(zone)
     }
 
@@ -225,7 +225,7 @@
 
     /// The zone with the oldest sign of life among those that are in doubt and not yet silent.
     fn most_doubtful_zone(&self, now: f64) -> Option<usize> {
-        let age = |zone: usize| self.heard_at[zone].map(|at| now - at);
+        let age = |zone: usize| self.last_seen_at[zone].map(|at| now - at);
         let in_doubt = |zone: &usize| {
             let is_old = age(*zone).is_some_and(|age| age >= self.limits.direct_after);
             is_old
--- a/crates/zones/src/map.rs
+++ b/crates/zones/src/map.rs
@@ -96,7 +96,7 @@
     }
 
     /// A member says its own zone.
-    pub fn learn_first_hand(&mut self, member: u16, zone: u8) {
+    pub fn learn_from_member(&mut self, member: u16, zone: u8) {
         self.set(usize::from(member), Known::FirstHand(zone));
     }
 
--- a/crates/zones/src/tests.rs
+++ b/crates/zones/src/tests.rs
@@ -13,7 +13,7 @@
 fn informed() -> ZoneEvidence {
     let mut evidence = ZoneEvidence::new(Some(0), ZoneMap::new(60, 0), 0.0, limits());
     for member in 0..60u16 {
-        evidence.heard_member(0.0, member, Some((member % 6) as u8));
+        evidence.observe_member(0.0, member, Some((member % 6) as u8));
     }
     evidence
 }
@@ -24,7 +24,7 @@
     let mut now = from;
     while now < until {
         now += 100.0;
-        heard.iter().for_each(|zone| evidence.heard_member(now, *zone, Some(*zone as u8)));
+        heard.iter().for_each(|zone| evidence.observe_member(now, *zone, Some(*zone as u8)));
         changes.extend(evidence.tick(now).into_iter().map(|change| (now, change)));
     }
     changes
@@ -37,7 +37,7 @@
     let expected = Change { zone: 5, reachability: Reachability::LostOrCutOff };
     assert_eq!(changes, [(limits().silence, expected)]);
     assert!(evidence.is_in_silent_zone(11) && !evidence.is_in_silent_zone(10));
-    evidence.heard_member(20_050.0, 11, Some(5));
+    evidence.observe_member(20_050.0, 11, Some(5));
     let back = Change { zone: 5, reachability: Reachability::Reachable };
     assert_eq!(evidence.tick(20_100.0), [back]);
 }
@@ -98,7 +98,7 @@
     let mut now = 0.0;
     while now < 20.0 * SECOND {
         now += 100.0;
-        (1..5).for_each(|zone| evidence.heard_member(now, zone, Some(zone as u8)));
+        (1..5).for_each(|zone| evidence.observe_member(now, zone, Some(zone as u8)));
         evidence.tick(now);
         pings.extend(evidence.direct_ping(now, now as u64).map(|member| (now, member)));
     }
@@ -114,21 +114,21 @@
 #[test]
 fn the_map_of_zones_is_learned_from_others_and_a_members_own_word_wins() {
     let mut known = ZoneMap::new(100, 0);
-    (0..100u16).for_each(|member| known.learn_first_hand(member, (member % 5) as u8));
+    (0..100u16).for_each(|member| known.learn_from_member(member, (member % 5) as u8));
     let mut learner = ZoneMap::new(100, 0);
-    learner.learn_first_hand(7, 4);
+    learner.learn_from_member(7, 4);
     let wanted = learner.next_unknown_batch().unwrap();
     known.chunks(wanted).iter().for_each(|chunk| learner.learn_chunk(chunk));
     assert_eq!(learner.next_unknown_batch(), None);
     assert!((0..100u16).filter(|m| *m != 7).all(|m| learner.zone(m) == Some(usize::from(m % 5))));
     assert_eq!(learner.zone(7), Some(4));
     assert_eq!((learner.size(4), learner.size(2)), (21, 19));
-    learner.learn_first_hand(7, 2);
+    learner.learn_from_member(7, 2);
     assert_eq!((learner.size(4), learner.size(2)), (20, 20));
     assert!(known.chunks(MapBatch(200)).is_empty());
     // Zones and members that don't exist change nothing.
-    learner.learn_first_hand(999, 2);
-    learner.learn_first_hand(8, 200);
+    learner.learn_from_member(999, 2);
+    learner.learn_from_member(8, 200);
     assert_eq!((learner.zone(8), learner.size(2)), (Some(3), 20));
 }
 
@@ -161,7 +161,7 @@
         let merged = |order: &[[u8; MAX_ZONES]]| {
             let mut evidence = informed();
             for ages in order {
-                evidence.heard_ages(30_000.0, &ages.map(Age));
+                evidence.merge_ages(30_000.0, &ages.map(Age));
             }
             evidence.ages(30_000.0)
         };
