--- a/crates/router/src/client_loop.rs
+++ b/crates/router/src/client_loop.rs
@@ -159,10 +159,7 @@
             self.room;
         self.shared.batch_pause_us.store((batch_delay_ms * 1e3) as u64, Relaxed);
         if (admitted_share, retry_after_ms) != (before.admitted_share, before.retry_after_ms) {
-            drop(
-                self.events
-                    .send(Event::AdmissionChanged { share: admitted_share, retry_after_ms: retry_after_ms }),
-            );
+            drop(self.events.send(Event::AdmissionChanged { share: admitted_share, retry_after_ms }));
         }
         if mode == before.mode {
             return;
