--- a/crates/budget/tests/collapse.rs
+++ b/crates/budget/tests/collapse.rs
@@ -1,265 +1,282 @@
-//! The loop that held a router down after its trigger had gone (docs/incidents/processor-limit.md), as a small model:
-//! clients that try again, what a try costs, and a processor that stops when its grant is used. Steps of 10 ms,
-//! arrivals by a fixed seed. The old way has a thread a connection and refuses only what is late already; the new
-//! one has neither the threads nor the late refusals, and keeps a budget.
+//! Metastable overload (docs/incidents/processor-limit.md): guards against a router that stays overloaded
+//! after the trigger has gone, because clients retry, each retry costs processor time, and the process is
+//! stopped once its grant is used up. A small model in steps of 10 ms, with arrivals by a fixed seed. The
+//! old router has a thread per connection and refuses only ops that are late already; the new one has no such
+//! threads and sheds load by its budget before ops are late.
 
 use magpiewell_budget::{AcceptLimiter, AdmissionLimits, Budget, SheddingMode};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::VecDeque;
 
-const STEP: f64 = 10.0;
-/// Processor time, in ms: an open, one whose client has gone, an op carried out, one refused, nonsense answered, a thread woken by a stop.
-const OPEN: f64 = 0.15;
-const DEAD: f64 = 0.05;
-const CARRY: f64 = 0.40;
-const REFUSE: f64 = 0.08;
-const NONSENSE: f64 = 0.04;
-const THREAD_A_STOP: f64 = 0.034;
-/// What the platform grants.
+const STEP_MS: f64 = 10.0;
+/// Processor time to accept a connection, and to accept one whose client has already gone.
+const ACCEPT_COST_MS: f64 = 0.15;
+const DEAD_ACCEPT_COST_MS: f64 = 0.05;
+/// Processor time to execute an op, to refuse one, and to answer a malformed message.
+const OP_COST_MS: f64 = 0.40;
+const REFUSAL_COST_MS: f64 = 0.08;
+const MALFORMED_COST_MS: f64 = 0.04;
+/// Processor time per thread that a stop of the process wakes.
+const THREAD_WAKE_COST_MS: f64 = 0.034;
+/// The processor time that the platform grants.
 const CORES: f64 = 0.2;
-/// Steps whose time may be saved up.
-const BURST: f64 = 10.0;
-/// How long a client waits for an answer, and thinks before the next op.
-const WAIT: f64 = 400.0;
-const THINK: f64 = 400.0;
+/// Steps whose unused processor time may be saved up.
+const MAX_SAVED_STEPS: f64 = 10.0;
+/// How long a client waits for an answer.
+const CLIENT_TIMEOUT_MS: f64 = 400.0;
+/// How long a client pauses before the next op.
+const THINK_TIME_MS: f64 = 400.0;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Kind {
-    /// Sends ops and comes back when told to.
-    Good,
-    /// Sends ops and comes back at once, whatever it is told.
-    Ignores,
-    /// Opens, asks for nothing, and opens again when shown out.
-    OpensOnly,
-    /// Opens and says what can't be read, again and again.
-    Nonsense,
+    /// Sends ops and retries after the retry-after time.
+    WellBehaved,
+    /// Sends ops and retries at once, whatever the retry-after time.
+    IgnoresRetryAfter,
+    /// Connects, sends no op, and reconnects when disconnected.
+    ConnectsOnly,
+    /// Connects and keeps sending malformed messages.
+    Malformed,
 }
 
 struct Client {
     kind: Kind,
-    open: bool,
-    /// When it does something next.
-    at: f64,
-    /// Waits for an answer or to be let in; its serial tells a late answer from the present one.
-    waits: bool,
+    is_open: bool,
+    /// When it acts next; while it waits, since when.
+    next_at: f64,
+    /// Waits for an answer or to be accepted.
+    is_waiting: bool,
+    /// Tells an answer to the present request from a late one.
     serial: u32,
-    early: u32,
-    told: f64,
+    /// Malformed messages, or retries before the retry-after time.
+    violations: u32,
+    /// The end of the retry-after time.
+    retry_at: f64,
 }
 
-struct Item {
+struct Request {
     client: usize,
     serial: u32,
-    since: f64,
+    queued_at: f64,
 }
 
 struct Model {
-    new_way: bool,
+    has_budget: bool,
     rng: ChaCha8Rng,
     clients: Vec<Client>,
-    knocks: VecDeque<Item>,
-    asks: VecDeque<Item>,
+    backlog: VecDeque<Request>,
+    requests: VecDeque<Request>,
     budget: Budget,
-    room: AdmissionLimits,
-    opens: AcceptLimiter,
+    limits: AdmissionLimits,
+    accept_limiter: AcceptLimiter,
     now: f64,
     used: f64,
     cores: f64,
-    /// Left of the present step's time; below zero where the last item took more.
-    left: f64,
+    /// Processor time left in the present step; negative where the last request took more.
+    cpu_left_ms: f64,
     served: u32,
     refused: usize,
-    unanswered: u32,
+    timeouts: u32,
 }
 
 impl Model {
-    fn new(new_way: bool) -> Model {
-        let budget = Budget::new(CORES, OPEN, REFUSE);
-        let room = budget.admission_limits();
+    fn new(has_budget: bool) -> Model {
+        let budget = Budget::new(CORES, ACCEPT_COST_MS, REFUSAL_COST_MS);
+        let limits = budget.admission_limits();
         Model {
-            new_way,
+            has_budget,
             rng: ChaCha8Rng::seed_from_u64(16),
             clients: Vec::new(),
-            knocks: VecDeque::new(),
-            asks: VecDeque::new(),
+            backlog: VecDeque::new(),
+            requests: VecDeque::new(),
             budget,
-            room,
-            opens: AcceptLimiter::default(),
+            limits,
+            accept_limiter: AcceptLimiter::default(),
             now: 0.0,
             used: 0.0,
             cores: CORES,
-            left: 0.0,
+            cpu_left_ms: 0.0,
             served: 0,
             refused: 0,
-            unanswered: 0,
+            timeouts: 0,
         }
     }
 
-    fn draw(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / 4_294_967_296.0
     }
 
     fn add(&mut self, count: usize, kind: Kind) {
         for _ in 0..count {
-            // The good ones come one after another, floods all at once.
-            let over = if kind == Kind::Good { 5_000.0 } else { THINK };
-            let at = self.now + self.draw() * over;
-            let client = Client { kind, open: false, at, waits: false, serial: 0, early: 0, told: 0.0 };
+            // Well-behaved clients arrive spread over five seconds, floods almost at once.
+            let spread_ms = if kind == Kind::WellBehaved { 5_000.0 } else { THINK_TIME_MS };
+            let next_at = self.now + self.random() * spread_ms;
+            let client = Client {
+                kind,
+                is_open: false,
+                next_at,
+                is_waiting: false,
+                serial: 0,
+                violations: 0,
+                retry_at: 0.0,
+            };
             self.clients.push(client);
         }
     }
 
     fn remove(&mut self, kind: Kind) {
         self.clients.retain(|client| client.kind != kind);
-        self.knocks.clear();
-        self.asks.clear();
+        self.backlog.clear();
+        self.requests.clear();
         for client in &mut self.clients {
-            client.waits = false;
-            client.at = client.at.max(self.now);
+            client.is_waiting = false;
+            client.next_at = client.next_at.max(self.now);
         }
     }
 
-    fn act(&mut self) {
-        for no in 0..self.clients.len() {
-            let client = &mut self.clients[no];
-            if client.waits && self.now - client.at >= WAIT {
-                // Lost patience: closes, and tries again on a new connection.
-                self.unanswered += u32::from(client.kind == Kind::Good);
-                (client.waits, client.open, client.at) = (false, false, self.now);
+    fn run_clients(&mut self) {
+        for index in 0..self.clients.len() {
+            let client = &mut self.clients[index];
+            if client.is_waiting && self.now - client.next_at >= CLIENT_TIMEOUT_MS {
+                // Client timeout: it disconnects and retries on a new connection.
+                self.timeouts += u32::from(client.kind == Kind::WellBehaved);
+                (client.is_waiting, client.is_open, client.next_at) = (false, false, self.now);
                 client.serial += 1;
             }
-            if client.waits || client.at > self.now {
+            if client.is_waiting || client.next_at > self.now {
                 continue;
             }
-            client.waits = true;
-            client.at = self.now;
-            let item = Item { client: no, serial: client.serial, since: self.now };
-            match client.open {
-                true => self.asks.push_back(item),
-                false => self.knocks.push_back(item),
+            client.is_waiting = true;
+            client.next_at = self.now;
+            let request = Request { client: index, serial: client.serial, queued_at: self.now };
+            match client.is_open {
+                true => self.requests.push_back(request),
+                false => self.backlog.push_back(request),
             }
         }
     }
 
     fn step(&mut self) {
-        self.act();
-        let granted = self.cores * STEP;
-        self.left = (self.left + granted).min(BURST * granted);
-        let started = self.left;
-        let mut stopped = false;
+        self.run_clients();
+        let granted = self.cores * STEP_MS;
+        self.cpu_left_ms = (self.cpu_left_ms + granted).min(MAX_SAVED_STEPS * granted);
+        let cpu_at_start_ms = self.cpu_left_ms;
+        let mut is_stopped = false;
         loop {
-            if self.left <= 0.0 {
-                stopped = true;
+            if self.cpu_left_ms <= 0.0 {
+                is_stopped = true;
                 break;
             }
-            // Those inside and those outside take turns; with a budget, who knocks waits for its turn there.
-            let opens = if self.new_way { self.room.accepts_per_second } else { f64::INFINITY };
-            let knock = !self.knocks.is_empty() && self.opens.take(self.now, opens);
-            if knock {
-                self.open();
+            // Connections to accept and requests take turns; with a budget the rate of accepting is limited.
+            let accepts_per_second =
+                if self.has_budget { self.limits.accepts_per_second } else { f64::INFINITY };
+            let accepts = !self.backlog.is_empty() && self.accept_limiter.take(self.now, accepts_per_second);
+            if accepts {
+                self.accept();
             }
-            let Some(item) = self.asks.pop_front() else {
-                if knock {
+            let Some(request) = self.requests.pop_front() else {
+                if accepts {
                     continue;
                 }
                 break;
             };
-            self.ask(item);
+            self.handle(request);
         }
-        let mut used = started - self.left;
-        if stopped && !self.new_way {
-            // Each stop wakes every thread, and that is paid for out of the next step's time.
-            let threads = self.clients.iter().filter(|client| client.open).count();
-            let cost = (threads as f64 * THREAD_A_STOP).min(0.9 * granted);
-            self.left -= cost;
+        let mut used = cpu_at_start_ms - self.cpu_left_ms;
+        if is_stopped && !self.has_budget {
+            // Each stop wakes every thread, which uses up time of the next step.
+            let threads = self.clients.iter().filter(|client| client.is_open).count();
+            let cost = (threads as f64 * THREAD_WAKE_COST_MS).min(0.9 * granted);
+            self.cpu_left_ms -= cost;
             used += cost;
         }
         self.used += used;
-        self.now += STEP;
-        if self.new_way && ((self.now / STEP) as u64).is_multiple_of(5) {
-            self.room = self.budget.update(self.now, self.used, self.refused);
+        self.now += STEP_MS;
+        if self.has_budget && ((self.now / STEP_MS) as u64).is_multiple_of(5) {
+            self.limits = self.budget.update(self.now, self.used, self.refused);
         }
     }
 
-    fn current(&self, item: &Item) -> bool {
-        self.clients.get(item.client).is_some_and(|c| c.serial == item.serial && c.waits)
+    fn is_current(&self, request: &Request) -> bool {
+        self.clients.get(request.client).is_some_and(|c| c.serial == request.serial && c.is_waiting)
     }
 
-    fn open(&mut self) {
-        let Some(item) = self.knocks.pop_front() else { return };
-        let current = self.current(&item);
-        self.left -= if current { OPEN } else { DEAD };
-        if current {
-            self.clients[item.client].open = true;
-            self.asks.push_back(item);
+    fn accept(&mut self) {
+        let Some(request) = self.backlog.pop_front() else { return };
+        let is_current = self.is_current(&request);
+        self.cpu_left_ms -= if is_current { ACCEPT_COST_MS } else { DEAD_ACCEPT_COST_MS };
+        if is_current {
+            self.clients[request.client].is_open = true;
+            self.requests.push_back(request);
         }
     }
 
-    fn ask(&mut self, item: Item) {
-        if !self.current(&item) {
-            // Its client has gone; that is seen when it is read.
-            self.left -= REFUSE;
+    fn handle(&mut self, request: Request) {
+        if !self.is_current(&request) {
+            // The client has timed out, which shows only when its request is read.
+            self.cpu_left_ms -= REFUSAL_COST_MS;
             return;
         }
-        let (lot, spread) = (self.draw(), self.draw());
-        let room = self.room;
-        let client = &mut self.clients[item.client];
-        client.waits = false;
+        let (shed_draw, jitter) = (self.random(), self.random());
+        let limits = self.limits;
+        let client = &mut self.clients[request.client];
+        client.is_waiting = false;
         match client.kind {
-            Kind::OpensOnly => (client.open, client.at) = (false, self.now),
-            Kind::Nonsense => {
-                self.left -= NONSENSE;
-                client.early += 1;
-                if client.early.is_multiple_of(16) {
-                    client.open = false;
+            Kind::ConnectsOnly => (client.is_open, client.next_at) = (false, self.now),
+            Kind::Malformed => {
+                self.cpu_left_ms -= MALFORMED_COST_MS;
+                client.violations += 1;
+                if client.violations.is_multiple_of(16) {
+                    client.is_open = false;
                 }
-                client.at = self.now;
+                client.next_at = self.now;
             }
-            Kind::Good | Kind::Ignores => {
-                let late = self.now - item.since > WAIT - STEP;
-                let shed = self.new_way && lot > room.admitted_share;
-                if !late && !shed {
-                    self.left -= CARRY;
-                    self.served += u32::from(client.kind == Kind::Good);
-                    client.at = self.now + THINK;
+            Kind::WellBehaved | Kind::IgnoresRetryAfter => {
+                let is_late = self.now - request.queued_at > CLIENT_TIMEOUT_MS - STEP_MS;
+                let is_shed = self.has_budget && shed_draw > limits.admitted_share;
+                if !is_late && !is_shed {
+                    self.cpu_left_ms -= OP_COST_MS;
+                    self.served += u32::from(client.kind == Kind::WellBehaved);
+                    client.next_at = self.now + THINK_TIME_MS;
                     return;
                 }
-                self.left -= REFUSE;
+                self.cpu_left_ms -= REFUSAL_COST_MS;
                 self.refused += 1;
-                let back = room.retry_after_ms * (0.5 + spread);
-                client.early += u32::from(self.now < client.told);
-                if self.new_way && client.early >= 8 {
-                    // Comes too soon again and again: outside it costs nothing.
-                    (client.open, client.early) = (false, 0);
+                let retry_after_ms = limits.retry_after_ms * (0.5 + jitter);
+                client.violations += u32::from(self.now < client.retry_at);
+                if self.has_budget && client.violations >= 8 {
+                    // Repeated early retries: disconnected, as it costs nothing in the backlog.
+                    (client.is_open, client.violations) = (false, 0);
                 }
-                client.told = self.now + back;
-                client.at = if client.kind == Kind::Good { client.told } else { self.now };
+                client.retry_at = self.now + retry_after_ms;
+                client.next_at = if client.kind == Kind::WellBehaved { client.retry_at } else { self.now };
             }
         }
     }
 
-    /// Ops served a second over so long.
+    /// Runs the model for so long; returns the ops served per second.
     fn run(&mut self, seconds: f64) -> f64 {
         let before = self.served;
-        for _ in 0..(seconds * 1000.0 / STEP) as usize {
+        for _ in 0..(seconds * 1000.0 / STEP_MS) as usize {
             self.step();
         }
         f64::from(self.served - before) / seconds
     }
 }
 
-/// Enough good clients for so many times what the processor can carry.
+/// The number of well-behaved clients whose load is so many times what the grant can serve.
 fn clients_for(times: f64) -> usize {
-    let most = CORES * 1000.0 / CARRY;
-    (times * most * THINK / 1000.0) as usize
+    let ops_per_second = CORES * 1000.0 / OP_COST_MS;
+    (times * ops_per_second * THINK_TIME_MS / 1000.0) as usize
 }
 
-/// A trigger of two seconds, then the load of before.
-fn after_a_trigger(new_way: bool, kind: Kind, count: usize) -> (f64, f64, f64) {
-    let mut model = Model::new(new_way);
-    model.add(clients_for(0.5), Kind::Good);
-    // A long quiet stretch before must not be a licence to overdo it.
+/// Ops served per second before a flood of two seconds, during it, and after it under the same load as
+/// before.
+fn rates_around_flood(has_budget: bool, kind: Kind, count: usize) -> (f64, f64, f64) {
+    let mut model = Model::new(has_budget);
+    model.add(clients_for(0.5), Kind::WellBehaved);
+    // A long period of light load must not save up allowance for a burst.
     let before = model.run(30.0);
     model.add(count, kind);
     let during = model.run(2.0);
@@ -269,34 +286,34 @@
 }
 
 #[test]
-fn the_old_way_stays_down_after_its_trigger_and_the_new_one_comes_back_within_a_second() {
-    for (kind, count) in [(Kind::Ignores, 400), (Kind::Nonsense, 200), (Kind::OpensOnly, 400)] {
-        let (before, during, after) = after_a_trigger(true, kind, count);
+fn the_old_router_stays_overloaded_after_a_flood_and_the_new_one_recovers_within_a_second() {
+    for (kind, count) in [(Kind::IgnoresRetryAfter, 400), (Kind::Malformed, 200), (Kind::ConnectsOnly, 400)] {
+        let (before, during, after) = rates_around_flood(true, kind, count);
         assert!(after >= 0.95 * before, "new: {before} {during} {after}");
     }
-    let (before, during, after) = after_a_trigger(false, Kind::Ignores, 400);
-    assert!(before >= 0.9 * 250.0, "the old way carried this load before: {before}");
+    let (before, during, after) = rates_around_flood(false, Kind::IgnoresRetryAfter, 400);
+    assert!(before >= 0.9 * 250.0, "the old router served this load before: {before}");
     assert!(after < 0.5 * before, "old: {before} {during} {after}");
 }
 
 #[test]
-fn at_two_and_four_times_the_load_nine_tenths_of_the_peak_are_served() {
+fn at_two_and_four_times_the_capacity_nine_tenths_of_the_peak_are_served() {
     let peak = [0.8, 0.9, 1.0, 1.1].map(|times| {
         let mut model = Model::new(true);
-        model.add(clients_for(times), Kind::Good);
+        model.add(clients_for(times), Kind::WellBehaved);
         model.run(8.0);
         model.run(10.0)
     });
     let peak = peak.into_iter().fold(0.0, f64::max);
     for times in [2.0, 4.0] {
         let mut model = Model::new(true);
-        model.add(clients_for(times), Kind::Good);
+        model.add(clients_for(times), Kind::WellBehaved);
         model.run(8.0);
         let served = model.run(10.0);
         assert!(served >= 0.9 * peak, "at {times}: {served} of {peak}");
-        // The old way, at the same load.
+        // The old router at the same load.
         let mut old = Model::new(false);
-        old.add(clients_for(times), Kind::Good);
+        old.add(clients_for(times), Kind::WellBehaved);
         old.run(8.0);
         let served = old.run(10.0);
         assert!(served < 0.5 * peak, "old at {times}: {served} of {peak}");
@@ -304,11 +321,11 @@
 }
 
 #[test]
-fn floods_of_opens_of_nonsense_of_ops_and_of_all_three_leave_most_of_the_good_ops() {
-    let all = [(Kind::OpensOnly, 300), (Kind::Nonsense, 150), (Kind::Ignores, 150)];
+fn floods_of_connections_malformed_messages_and_ops_leave_capacity_to_well_behaved_clients() {
+    let all = [(Kind::ConnectsOnly, 300), (Kind::Malformed, 150), (Kind::IgnoresRetryAfter, 150)];
     for floods in [&all[0..1], &all[1..2], &all[2..3], &all[..]] {
         let mut model = Model::new(true);
-        model.add(clients_for(0.5), Kind::Good);
+        model.add(clients_for(0.5), Kind::WellBehaved);
         let before = model.run(10.0);
         floods.iter().for_each(|(kind, count)| model.add(*count, *kind));
         model.run(2.0);
@@ -318,33 +335,33 @@
 }
 
 #[test]
-fn a_grant_that_halves_in_mid_flood_is_followed_and_nothing_swings() {
+fn the_limits_follow_a_grant_that_halves_during_overload_without_oscillating() {
     let mut model = Model::new(true);
-    model.add(clients_for(2.0), Kind::Good);
+    model.add(clients_for(2.0), Kind::WellBehaved);
     model.run(10.0);
-    let whole = model.run(10.0);
+    let full = model.run(10.0);
     model.cores = CORES / 2.0;
-    model.budget = Budget::new(CORES / 2.0, OPEN, REFUSE);
+    model.budget = Budget::new(CORES / 2.0, ACCEPT_COST_MS, REFUSAL_COST_MS);
     model.run(3.0);
     let seconds: Vec<f64> = (0..10).map(|_| model.run(1.0)).collect();
     let half = seconds.iter().sum::<f64>() / 10.0;
-    assert!(half >= 0.42 * whole, "{half} of {whole}");
+    assert!(half >= 0.42 * full, "{half} of {full}");
     let least = seconds.iter().copied().fold(f64::INFINITY, f64::min);
-    assert!(least >= 0.6 * half, "it swings: {seconds:?}");
+    assert!(least >= 0.6 * half, "rates oscillate: {seconds:?}");
 }
 
 #[test]
-fn below_its_limit_nothing_is_refused() {
+fn below_the_target_load_nothing_is_shed() {
     let mut model = Model::new(true);
-    model.add(clients_for(0.7), Kind::Good);
+    model.add(clients_for(0.7), Kind::WellBehaved);
     for _ in 0..2_000 {
         model.step();
         assert!(
-            model.room.mode == SheddingMode::Off || model.now < 2_000.0,
+            model.limits.mode == SheddingMode::Off || model.now < 2_000.0,
             "{:?} at {}",
-            model.room,
+            model.limits,
             model.now
         );
     }
-    assert_eq!(model.unanswered, 0);
+    assert_eq!(model.timeouts, 0);
 }
