--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -1,26 +1,28 @@
-//! Who of a tier takes care of what, without a message between routers: each router computes the same
-//! assignment from the members that it believes in. No I/O, no clock, no threads.
+//! Assigns replicas, probes and allowances to the routers of a tier without messages between them: each
+//! router computes the same assignment from its view of the members. No I/O, no clock, no threads.
 //!
-//! Three questions. Which of a group's replicas does a router keep connections to ([`preferred_replicas`]):
-//! weighted rendezvous hashing, so that each replica is preferred by as many routers as its capacity asks
-//! for. Which routers probe a host ([`probe_rank`]): the few with the highest score for it, so that a
-//! member that comes or goes moves only its own. And how much of an allowance for the whole tier is one
-//! router's ([`allowance`]). Where two routers believe in different members, each still has its replicas,
-//! and a host is probed by the few of each belief: never by none.
+//! - Which of a group's replicas a router keeps connections to ([`preferred_replicas`]): weighted rendezvous
+//!   hashing, so that the number of routers that prefer a replica is proportional to its capacity.
+//! - Which routers probe a host ([`probe_rank`]): the few with the highest score for it, so that a member
+//!   that joins or leaves moves only its own probes.
+//! - How much of an allowance for the whole tier is one router's ([`allowance`]).
+//!
+//! Where two routers have different views of the members, each still has its replicas, and a host is probed
+//! by the few of each view: never by none.
 
 use magpiewell_splitmix as splitmix;
 
 /// The odd multiplier of a score's second number, so that exchanging the two gives another score.
 const SECOND_MULTIPLIER: u64 = 0xc2b2_ae3d_27d4_eb4f;
-/// The least weight of a replica against its capacity: none is quite out of reach, as all nearer ones may
-/// be lost.
+/// The smallest weight of a replica relative to its capacity: above 0, so that it is still chosen when all
+/// nearer ones are lost.
 const MIN_WEIGHT: f64 = 1e-6;
 
 /// A member of a tier that counts: its number, and its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Router {
     /// The member's number.
-    pub no: u16,
+    pub number: u16,
     /// The index of its zone.
     pub zone: usize,
 }
@@ -28,7 +30,7 @@
 /// A replica that may be preferred.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Replica {
-    /// The same at every router.
+    /// A key that is the same at every router.
     pub key: u32,
     /// The index of its zone.
     pub zone: usize,
@@ -47,7 +49,7 @@
 }
 
 /// This router's rank among those that probe a host: 0 for the first, none where it isn't one of the
-/// `count` with the highest scores. All that believe in the same members agree on them.
+/// `count` with the highest scores. All routers with the same view of the members agree on them.
 pub fn probe_rank(key: u32, me: u16, members: impl Iterator<Item = u16>, count: usize) -> Option<usize> {
     let score_of = |member: u16| (score(u64::from(key), u64::from(member)), member);
     let own_score = score_of(me);
@@ -95,8 +97,8 @@
 /// `count` of them, or all where there are fewer.
 ///
 /// They are chosen by weighted rendezvous hashing, the least `-ln(u)/w` first. A replica's weight is its
-/// share of its zone's capacity, of what this router's zone sends there (see [`zone_shares`]), so that a
-/// zone's routers don't crowd the few replicas that are near.
+/// share of its zone's capacity, times what this router's zone sends there (see [`zone_shares`]), so that a
+/// zone's routers don't overload the few replicas that are near.
 pub fn preferred_replicas(
     group: u32,
     me: Router,
@@ -114,7 +116,7 @@
         (zone_share * replica.size / zone_capacity).max(MIN_WEIGHT * replica.size)
     };
     let distance = |replica: &Replica| {
-        let hash = score(u64::from(replica.key) ^ u64::from(group) << 32, u64::from(me.no) + 1);
+        let hash = score(u64::from(replica.key) ^ u64::from(group) << 32, u64::from(me.number) + 1);
         -unit_interval(hash).ln() / weight(replica).max(f64::MIN_POSITIVE)
     };
     let mut order: Vec<(f64, usize)> =
@@ -149,8 +151,8 @@
 }
 
 /// A router's share of an allowance for the whole tier, such as that of a cold host: one over the members
-/// that count, and never more than one over `floor`, the least that any router may believe in. While
-/// routers believe in different members, the sum is at most `live routers / floor`.
+/// that count, and never more than one over `floor`, the smallest number of members that any router may
+/// count. While routers have different views of the members, the sum is at most `live routers / floor`.
 pub fn allowance(counted: usize, floor: usize) -> f64 {
     1.0 / counted.max(floor).max(1) as f64
 }
--- a/crates/shares/src/tests.rs
+++ b/crates/shares/src/tests.rs
@@ -1,15 +1,15 @@
-//! Assignments are even, stable and the same for all routers that believe in the same members.
+//! Assignments are even, stable and the same for all routers with the same view of the members.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-fn set() -> Config {
+fn config() -> Config {
     Config { cases: 64, rng_seed: RngSeed::Fixed(37), failure_persistence: None, ..Config::default() }
 }
 
-fn routers(of: u16, zones: usize) -> Vec<Router> {
-    (0..of).map(|no| Router { no, zone: no as usize % zones }).collect()
+fn routers(count: u16, zones: usize) -> Vec<Router> {
+    (0..count).map(|number| Router { number, zone: number as usize % zones }).collect()
 }
 
 fn replicas(zones: &[usize]) -> Vec<Replica> {
@@ -18,7 +18,7 @@
 }
 
 /// How many routers' first choice each replica is.
-fn firsts(members: &[Router], replicas: &[Replica], local_factor: f64) -> Vec<usize> {
+fn first_choices(members: &[Router], replicas: &[Replica], local_factor: f64) -> Vec<usize> {
     let mut counts = vec![0; replicas.len()];
     for me in members {
         counts[preferred_replicas(9, *me, members, replicas, 1, local_factor)[0]] += 1;
@@ -27,26 +27,26 @@
 }
 
 #[test]
-fn first_choices_are_near_where_there_is_room_and_even_where_there_is_not() {
+fn first_choices_are_local_where_capacity_allows_and_even_otherwise() {
     let members = routers(300, 3);
     // One replica a zone: each zone's routers take their own.
-    let even = firsts(&members, &replicas(&[0, 1, 2]), 1.0);
+    let even = first_choices(&members, &replicas(&[0, 1, 2]), 1.0);
     assert_eq!(even, [100, 100, 100]);
     // Three in one zone, one in the next, none in the last: 75 each is fair.
-    let skewed = firsts(&members, &replicas(&[0, 0, 0, 1]), 1.0);
-    assert!(skewed.iter().all(|c| (55..=95).contains(c)), "{skewed:?}");
+    let skewed = first_choices(&members, &replicas(&[0, 0, 0, 1]), 1.0);
+    assert!(skewed.iter().all(|count| (55..=95).contains(count)), "{skewed:?}");
     // Sizes count.
     let mut sized = replicas(&[0, 0, 0]);
     sized[2].size = 2.0;
-    let counts = firsts(&members, &sized, 1.0);
+    let counts = first_choices(&members, &sized, 1.0);
     assert!((125..=175).contains(&counts[2]), "{counts:?}");
 }
 
 #[test]
-fn a_zone_keeps_what_it_can_carry_and_the_rest_goes_where_there_is_room() {
+fn a_zone_keeps_the_reads_it_can_serve_and_the_rest_goes_to_zones_with_a_surplus() {
     let third = [1.0 / 3.0; 3];
     assert_eq!(zone_shares(&[1.0, 1.0, 1.0], &third, 1, 1.0), [0.0, 1.0, 0.0]);
-    // No replica near: to the zones with a surplus, in proportion to it.
+    // No local replica: to the zones with a surplus, in proportion to it.
     assert_eq!(zone_shares(&[2.0, 1.0, 0.0], &third, 2, 1.5), [1.0, 0.0, 0.0]);
     assert_eq!(zone_shares(&[2.0, 2.0, 0.0], &third, 2, 1.5), [0.5, 0.5, 0.0]);
     // One of nine: a third of what the zone offers, or half of it where it may do half more.
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn probes_are_even_and_a_member_that_goes_moves_only_its_own() {
+fn probes_are_even_and_a_member_that_leaves_moves_only_its_own() {
     let all: Vec<u16> = (0..300).collect();
-    let of = |members: &[u16], key: u32| {
+    let prober = |members: &[u16], key: u32| {
         members
             .iter()
             .copied()
@@ -72,17 +72,17 @@
     };
     let mut counts = vec![0; 300];
     for key in 0..3_000 {
-        counts[of(&all, key) as usize] += 1;
+        counts[prober(&all, key) as usize] += 1;
     }
-    assert!(counts.iter().all(|c| (1..=26).contains(c)), "{counts:?}");
+    assert!(counts.iter().all(|count| (1..=26).contains(count)), "{counts:?}");
     let without: Vec<u16> = all.iter().copied().filter(|m| *m != 7).collect();
     for key in 0..500 {
-        let before = of(&all, key);
-        assert!(before == 7 || of(&without, key) == before);
+        let before = prober(&all, key);
+        assert!(before == 7 || prober(&without, key) == before);
     }
 }
 
-/// Every router must compute the same scores, of whatever version it is.
+/// Routers of all versions must compute the same scores.
 #[test]
 fn scores_are_fixed() {
     assert_eq!(score(1, 2), 3_857_103_152_913_385_077);
@@ -90,10 +90,10 @@
 }
 
 proptest! {
-    #![proptest_config(set())]
+    #![proptest_config(config())]
 
-    /// All zones together: none gets more than the local factor times its share, and all that is offered goes
-    /// somewhere.
+    /// Over all zones, none gets more than the local factor times its share, and all offered reads are
+    /// assigned.
     #[test]
     fn shares_of_all_zones_are_even(
         capacity in prop::collection::vec(0u8..5, 1..6),
@@ -114,12 +114,16 @@
         }
     }
 
-    /// In one zone a member that goes changes no other member's replicas.
+    /// In one zone a member that leaves changes no other member's replicas.
     #[test]
-    fn choices_are_stable(of in 12u16..60, gone in any::<prop::sample::Index>(), key in any::<u32>()) {
-        let all = routers(of, 1);
-        let gone = gone.index(of as usize) as u16;
-        let without: Vec<Router> = all.iter().copied().filter(|member| member.no != gone).collect();
+    fn choices_are_stable(
+        router_count in 12u16..60,
+        removed in any::<prop::sample::Index>(),
+        key in any::<u32>(),
+    ) {
+        let all = routers(router_count, 1);
+        let removed = removed.index(router_count as usize) as u16;
+        let without: Vec<Router> = all.iter().copied().filter(|member| member.number != removed).collect();
         let mut replicas = replicas(&[0; 6]);
         replicas[3].key = key;
         for me in &without {
@@ -128,17 +132,17 @@
         }
     }
 
-    /// Members in zones: at most 2/N of all pairs of a router and a preferred replica move when a member
-    /// goes.
+    /// In several zones, at most 2/N of all pairs of a router and a preferred replica change when a member
+    /// leaves.
     #[test]
-    fn zones_move_few(
-        of in 30u16..120,
-        gone in any::<prop::sample::Index>(),
+    fn in_several_zones_few_choices_change(
+        router_count in 30u16..120,
+        removed in any::<prop::sample::Index>(),
         zones in prop::collection::vec(0usize..3, 4..8),
     ) {
-        let all = routers(of, 3);
-        let gone = gone.index(of as usize) as u16;
-        let without: Vec<Router> = all.iter().copied().filter(|m| m.no != gone).collect();
+        let all = routers(router_count, 3);
+        let removed = removed.index(router_count as usize) as u16;
+        let without: Vec<Router> = all.iter().copied().filter(|m| m.number != removed).collect();
         let replicas = replicas(&zones);
         let (mut moved, mut pairs) = (0, 0);
         for group in 0..20 {
@@ -149,19 +153,25 @@
                 pairs += before.len();
             }
         }
-        prop_assert!(moved as f64 <= 2.0 / f64::from(of) * pairs as f64 + 3.0, "{} of {}", moved, pairs);
+        prop_assert!(
+            moved as f64 <= 2.0 / f64::from(router_count) * pairs as f64 + 3.0,
+            "{} of {}", moved, pairs
+        );
     }
 
-    /// Whatever a router believes: it has as many replicas as there are up to the count, none twice.
+    /// Whatever its view of the members, a router has as many replicas as there are up to the count, none
+    /// twice.
     #[test]
     fn every_router_has_its_replicas(
-        of in 1u16..40,
+        router_count in 1u16..40,
         me in 0u16..60,
         zones in prop::collection::vec(0usize..5, 0..9),
         count in 0usize..5,
     ) {
         let replicas = replicas(&zones);
-        let kept = preferred_replicas(1, Router { no: me, zone: 2 }, &routers(of, 3), &replicas, count, 1.25);
+        let kept = preferred_replicas(
+            1, Router { number: me, zone: 2 }, &routers(router_count, 3), &replicas, count, 1.25
+        );
         let mut seen = kept.clone();
         seen.sort_unstable();
         seen.dedup();
@@ -169,10 +179,10 @@
         prop_assert_eq!(kept.len(), seen.len());
     }
 
-    /// At the worst split each side counts its own members only, and the shares of all sides together are at
+    /// In the worst partition each side counts its own members only; the shares of all sides together are at
     /// most the stated bound.
     #[test]
-    fn allowances_of_a_tier_cut_apart_stay_within_the_stated_bound(
+    fn allowances_of_a_partitioned_tier_stay_within_the_stated_bound(
         sides in prop::collection::vec(1usize..80, 1..5),
     ) {
         let all: usize = sides.iter().sum();
@@ -182,7 +192,7 @@
     }
 
     #[test]
-    fn probes_of_a_tier_cut_apart_are_done_on_every_side(split in 1u16..59, key in any::<u32>()) {
+    fn every_side_of_a_partitioned_tier_probes_each_host(split in 1u16..59, key in any::<u32>()) {
         for side in [0..split, split..60] {
             let members: Vec<u16> = side.collect();
             let rank = |me: &u16| probe_rank(key, *me, members.iter().copied(), 2);
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -1,4 +1,4 @@
-//! Signs of life by zone, and what follows from their age.
+//! The latest sign of life of each zone, and the reachability that follows from its age.
 
 use crate::{Age, Ages, MAX_ZONES, MapBatch, MapChunk, ZoneMap};
 
@@ -9,19 +9,20 @@
     pub silence: f64,
     /// A zone whose latest sign of life is older than this is also pinged directly.
     pub direct_after: f64,
-    /// One direct ping goes out so often, at the most.
+    /// The shortest interval between two direct pings of this router.
     pub direct_period: f64,
-    /// All routers together send each member of such a zone so many direct pings a second, about.
+    /// About how many direct pings a second all routers together send to each member of such a zone.
     pub direct_per_member: f64,
-    /// As long as the zones of some members aren't known, another router is asked for a part of the map so often.
+    /// While the zones of some members are unknown, another router is asked for a part of the map at this
+    /// interval.
     pub map_request_period: f64,
     /// A tick that comes later than this shows that this router itself was stopped.
     pub pause_threshold: f64,
 }
 
 impl Limits {
-    /// Limits that follow from how often a router probes another: news crosses a fleet of thousands in under six
-    /// periods.
+    /// Limits derived from how often a router probes another: an update reaches a fleet of thousands in under
+    /// six periods.
     pub fn for_probe_period(period: f64, pause_threshold: f64) -> Limits {
         const SILENCE_PERIODS: f64 = 6.0;
         const DIRECT_AFTER_PERIODS: f64 = 2.0;
@@ -44,15 +45,15 @@
 pub enum Reachability {
     #[default]
     Reachable,
-    /// Silent, and together with other silent zones less than half of the roster: its members don't count. Whether it is
-    /// lost or cut off can't be told from here.
+    /// Silent, and together with other silent zones less than half of the roster: its members aren't counted.
+    /// This router can't distinguish a lost zone from one that is cut off.
     LostOrCutOff,
-    /// Silent, and together with other silent zones half of the roster or more: this router is as likely on the smaller
-    /// side of a partition. The zone's members stay counted.
+    /// Silent, and together with other silent zones half of the roster or more: this router is as likely on
+    /// the smaller side of a partition. The zone's members stay counted.
     CutOff,
 }
 
-/// What is believed of a zone has changed.
+/// A change of a zone's reachability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     pub zone: usize,
@@ -65,10 +66,10 @@
     limits: Limits,
     own_zone: Option<usize>,
     map: ZoneMap,
-    /// When the latest sign of life of each zone was given.
+    /// The time of the latest sign of life of each zone.
     last_seen_at: [Option<f64>; MAX_ZONES],
     reachability: [Reachability; MAX_ZONES],
-    /// No zone is silent before this time: this router has just started, or was stopped.
+    /// No zone becomes silent before this time: this router has just started, or was stopped.
     trusted_from: f64,
     ticked_at: Option<f64>,
     direct_at: f64,
@@ -76,7 +77,7 @@
 }
 
 impl ZoneEvidence {
-    /// The evidence of a router in this zone, if it has one that is watched, which starts now.
+    /// The evidence of a router that starts now. `own_zone` is its zone, ignored if it isn't a watched one.
     pub fn new(own_zone: Option<usize>, map: ZoneMap, now: f64, limits: Limits) -> ZoneEvidence {
         ZoneEvidence {
             limits,
@@ -95,7 +96,7 @@
         &self.map
     }
 
-    /// A part of the map of zones to ask another router for now.
+    /// The part of the zone map to request from another router now, if a request is due.
     pub fn map_request(&mut self, now: f64) -> Option<MapBatch> {
         if now < self.map_request_at {
             return None;
@@ -104,6 +105,7 @@
         self.map.next_unknown_batch()
     }
 
+    /// Fills in the zones of members from another router's map.
     pub fn learn_chunk(&mut self, chunk: &MapChunk) {
         self.map.learn_chunk(chunk);
     }
@@ -123,7 +125,7 @@
         self.reachability.iter().any(|reachability| *reachability != Reachability::Reachable)
     }
 
-    /// A datagram of this member has come, which says its zone.
+    /// Records a datagram of this member, which states its zone if it has one.
     pub fn observe_member(&mut self, now: f64, member: u16, zone: Option<u8>) {
         if let Some(zone) = zone {
             self.map.learn_from_member(member, zone);
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Another router tells how old its latest signs of life are.
+    /// Merges the ages of the latest signs of life that another router reports.
     pub fn merge_ages(&mut self, now: f64, ages: &Ages) {
         for (zone, age) in ages.iter().enumerate() {
             if let Some(ms) = age.to_ms() {
@@ -143,11 +145,11 @@
     }
 
     fn observe_zone(&mut self, zone: usize, at: f64) {
-        let held = &mut self.last_seen_at[zone];
-        *held = Some(held.map_or(at, |held| held.max(at)));
+        let current = &mut self.last_seen_at[zone];
+        *current = Some(current.map_or(at, |current| current.max(at)));
     }
 
-    /// The ages to tell others; this router's own zone is alive as it speaks.
+    /// The ages to report to others; this router's own zone has age zero.
     pub fn ages(&self, now: f64) -> Ages {
         let mut ages = self.last_seen_at.map(|at| at.map_or(Age::UNKNOWN, |at| Age::from_ms(now - at)));
         if let Some(own) = self.own_zone {
@@ -156,20 +158,20 @@
         ages
     }
 
-    /// Time passes; to be called several times a second. Says what has changed.
+    /// Advances the time and returns the changes of reachability; to be called several times a second.
     pub fn tick(&mut self, now: f64) -> Vec<Change> {
         let since_tick = self.ticked_at.map_or(0.0, |at| now - at);
         self.ticked_at = Some(now);
         if since_tick > self.limits.pause_threshold || since_tick < 0.0 {
-            // Nothing was heard while this router was stopped: that is no evidence against others.
+            // Nothing could be received while this router was stopped: that is no evidence against others.
             self.trusted_from = now + self.limits.silence;
         }
-        let side = self.silent_side(now);
-        (0..MAX_ZONES).filter_map(|zone| self.update(zone, now, side)).collect()
+        let silent_reachability = self.silent_reachability(now);
+        (0..MAX_ZONES).filter_map(|zone| self.update(zone, now, silent_reachability)).collect()
     }
 
-    /// What the silent zones are, by the part of the roster that they hold together.
-    fn silent_side(&self, now: f64) -> Reachability {
+    /// The reachability of all silent zones, by the part of the roster that they hold together.
+    fn silent_reachability(&self, now: f64) -> Reachability {
         let silent: usize =
             (0..MAX_ZONES).filter(|zone| self.is_silent(*zone, now)).map(|zone| self.map.size(zone)).sum();
         if 2 * silent < self.map.roster() { Reachability::LostOrCutOff } else { Reachability::CutOff }
@@ -183,7 +185,7 @@
         if self.is_fresh(zone, now) {
             return false;
         }
-        // Once silent a zone stays so until it is heard, also while new evidence isn't trusted.
+        // A silent zone stays so until a sign of life arrives, even while new silence isn't trusted.
         now >= self.trusted_from || self.reachability[zone] != Reachability::Reachable
     }
 
@@ -191,30 +193,32 @@
         self.last_seen_at[zone].is_some_and(|at| now - at < self.limits.silence)
     }
 
-    fn update(&mut self, zone: usize, now: f64, side: Reachability) -> Option<Change> {
-        let reachability = if self.is_silent(zone, now) { side } else { Reachability::Reachable };
-        let held = &mut self.reachability[zone];
-        if *held == reachability {
+    fn update(&mut self, zone: usize, now: f64, silent_reachability: Reachability) -> Option<Change> {
+        let reachability =
+            if self.is_silent(zone, now) { silent_reachability } else { Reachability::Reachable };
+        let current = &mut self.reachability[zone];
+        if *current == reachability {
             return None;
         }
-        *held = reachability;
+        *current = reachability;
         Some(Change { zone, reachability })
     }
 
-    /// Whether a member's zone has given no sign of life for a while, or is silent: what is sent there may be lost.
+    /// Whether the latest sign of life of a member's zone is older than `direct_after`: datagrams to it may
+    /// be lost.
     pub fn is_in_stale_zone(&self, now: f64, member: u16) -> bool {
         let Some(zone) = self.map.zone(member) else { return false };
         let is_old = self.last_seen_at[zone].is_some_and(|at| now - at >= self.limits.direct_after);
         is_old && self.own_zone != Some(zone)
     }
 
-    /// A member that should be pinged now, besides the regular probes, because its zone has given no sign of life for a
-    /// while. `draw` is a random number.
+    /// A member to ping now, besides the regular probes, because its zone's latest sign of life is stale.
+    /// `draw` is a random number.
     pub fn direct_ping(&mut self, now: f64, draw: u64) -> Option<u16> {
         if now < self.direct_at {
             return None;
         }
-        let zone = self.most_doubtful_zone(now)?;
+        let zone = self.most_stale_zone(now)?;
         let members = self.map.size(zone);
         let members_per_router = members as f64 / self.map.roster().max(1) as f64;
         let rate = self.limits.direct_per_member * members_per_router;
@@ -223,10 +227,10 @@
         self.map.members_of(zone).nth((draw % members as u64) as usize)
     }
 
-    /// The zone with the oldest sign of life among those that are in doubt and not yet silent.
-    fn most_doubtful_zone(&self, now: f64) -> Option<usize> {
+    /// The zone with the oldest sign of life among those that are stale and not yet silent.
+    fn most_stale_zone(&self, now: f64) -> Option<usize> {
         let age = |zone: usize| self.last_seen_at[zone].map(|at| now - at);
-        let in_doubt = |zone: &usize| {
+        let is_stale = |zone: &usize| {
             let is_old = age(*zone).is_some_and(|age| age >= self.limits.direct_after);
             is_old
                 && self.own_zone != Some(*zone)
@@ -234,6 +238,6 @@
                 && self.reachability[*zone] == Reachability::Reachable
         };
         let by_age = |a: &usize, b: &usize| age(*a).unwrap_or(0.0).total_cmp(&age(*b).unwrap_or(0.0));
-        (0..MAX_ZONES).filter(in_doubt).max_by(by_age)
+        (0..MAX_ZONES).filter(is_stale).max_by(by_age)
     }
 }
--- a/crates/zones/src/map.rs
+++ b/crates/zones/src/map.rs
@@ -1,11 +1,12 @@
-//! Which zone each member of the roster is in, as far as known. A member's own word comes with its datagrams; the rest is
-//! learned from other routers, which answer when asked for a part of the map that isn't known.
+//! Which zone each member of the roster is in, as far as known. A member states its own zone in its
+//! datagrams; the rest is learned from other routers, which are asked for the parts of the map that are
+//! unknown.
 
 use crate::MAX_ZONES;
 
 /// Members in one chunk of the map.
 pub const CHUNK_MEMBERS: usize = 24;
-/// Chunks that are asked for at once: as many as one datagram answers.
+/// Chunks per request: as many as fit into one datagram of the answer.
 pub const BATCH_CHUNKS: usize = 11;
 const BATCH_MEMBERS: usize = BATCH_CHUNKS * CHUNK_MEMBERS;
 
@@ -23,7 +24,7 @@
 }
 
 impl MapChunk {
-    /// Stands for a member whose zone isn't known. Zones fit into four bits beside it.
+    /// Marks a member whose zone is unknown. It and all zones fit into four bits.
     pub const UNKNOWN: u8 = 15;
 }
 
@@ -32,17 +33,17 @@
 enum Known {
     #[default]
     Unknown,
-    /// Another router said so.
-    Told(u8),
-    /// The member itself said so.
-    FirstHand(u8),
+    /// Reported by another router.
+    Relayed(u8),
+    /// Reported by the member itself.
+    SelfReported(u8),
 }
 
 impl Known {
     fn zone(self) -> Option<u8> {
         match self {
             Known::Unknown => None,
-            Known::Told(zone) | Known::FirstHand(zone) => Some(zone),
+            Known::Relayed(zone) | Known::SelfReported(zone) => Some(zone),
         }
     }
 }
@@ -51,15 +52,15 @@
 #[derive(Clone, Debug)]
 pub struct ZoneMap {
     members: Vec<Known>,
-    /// Members known in each zone.
+    /// The number of members known in each zone.
     sizes: [usize; MAX_ZONES],
     next_batch: usize,
-    /// Counts the changes.
+    /// Incremented by each change.
     version: u64,
 }
 
 impl ZoneMap {
-    /// Nothing is known yet of a roster of so many. `first_batch` is the part that is asked for first.
+    /// An empty map for a roster of `roster` members. `first_batch` is the part that is requested first.
     pub fn new(roster: usize, first_batch: usize) -> ZoneMap {
         ZoneMap {
             members: vec![Known::default(); roster],
@@ -69,20 +70,22 @@
         }
     }
 
+    /// The zone of a member, if known.
     pub fn zone(&self, member: u16) -> Option<usize> {
         self.members.get(usize::from(member)).and_then(|known| known.zone()).map(usize::from)
     }
 
-    /// Members known in a zone.
+    /// The number of members known in a zone.
     pub fn size(&self, zone: usize) -> usize {
         self.sizes.get(zone).copied().unwrap_or(0)
     }
 
-    /// Differs whenever the zone of some member has become known, or another.
+    /// A number that changes whenever the zone of some member becomes known or changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
+    /// The number of members of the roster.
     pub fn roster(&self) -> usize {
         self.members.len()
     }
@@ -95,34 +98,34 @@
             .map(|(_, number)| number)
     }
 
-    /// A member says its own zone.
+    /// Records the zone that a member states of itself.
     pub fn learn_from_member(&mut self, member: u16, zone: u8) {
-        self.set(usize::from(member), Known::FirstHand(zone));
+        self.set(usize::from(member), Known::SelfReported(zone));
     }
 
-    /// Another router's word fills what isn't known yet; it never overrides what is.
+    /// Fills in unknown zones from another router's map; known ones are never overridden.
     pub fn learn_chunk(&mut self, chunk: &MapChunk) {
         for (member, zone) in (usize::from(chunk.first)..).zip(chunk.zones) {
             if self.members.get(member).is_some_and(|known| *known == Known::Unknown) {
-                self.set(member, Known::Told(zone));
+                self.set(member, Known::Relayed(zone));
             }
         }
     }
 
     fn set(&mut self, member: usize, known: Known) {
         let is_watched = known.zone().is_some_and(|zone| usize::from(zone) < MAX_ZONES);
-        let Some(held) = self.members.get_mut(member).filter(|_| is_watched) else { return };
-        if let Some(before) = held.zone() {
+        let Some(current) = self.members.get_mut(member).filter(|_| is_watched) else { return };
+        if let Some(before) = current.zone() {
             self.sizes[usize::from(before)] -= 1;
         }
-        self.version += u64::from(held.zone() != known.zone());
-        *held = known;
-        if let Some(zone) = held.zone() {
+        self.version += u64::from(current.zone() != known.zone());
+        *current = known;
+        if let Some(zone) = current.zone() {
             self.sizes[usize::from(zone)] += 1;
         }
     }
 
-    /// The next batch of the map in which something isn't known yet, in turn.
+    /// The next batch of the map, in rotation, in which some zone is unknown.
     pub fn next_unknown_batch(&mut self) -> Option<MapBatch> {
         let batches = self.members.len().div_ceil(BATCH_MEMBERS);
         for _ in 0..batches {
@@ -137,7 +140,7 @@
         None
     }
 
-    /// The chunks of a batch in which something is known.
+    /// The chunks of a batch in which some zone is known.
     pub fn chunks(&self, batch: MapBatch) -> Vec<MapChunk> {
         let first = usize::from(batch.0) * BATCH_MEMBERS;
         let starts = (first..first + BATCH_MEMBERS).step_by(CHUNK_MEMBERS);
--- a/crates/zones/src/tests.rs
+++ b/crates/zones/src/tests.rs
@@ -9,8 +9,9 @@
     Limits::for_probe_period(PERIOD, 400.0)
 }
 
-/// The evidence of a router in zone 0 of six, that knows the zones of all 60 members and has just heard all zones.
-fn informed() -> ZoneEvidence {
+/// The evidence of a router in zone 0 of six that knows the zones of all 60 members and has just received
+/// from all zones.
+fn informed_evidence() -> ZoneEvidence {
     let mut evidence = ZoneEvidence::new(Some(0), ZoneMap::new(60, 0), 0.0, limits());
     for member in 0..60u16 {
         evidence.observe_member(0.0, member, Some((member % 6) as u8));
@@ -18,22 +19,23 @@
     evidence
 }
 
-/// Lets time pass in ticks of 100 ms while these zones are heard; all changes on the way.
-fn pass(evidence: &mut ZoneEvidence, from: f64, until: f64, heard: &[u16]) -> Vec<(f64, Change)> {
+/// Advances the time in ticks of 100 ms while these members, one per zone, are received from; returns all
+/// changes.
+fn advance(evidence: &mut ZoneEvidence, from: f64, until: f64, received: &[u16]) -> Vec<(f64, Change)> {
     let mut changes = Vec::new();
     let mut now = from;
     while now < until {
         now += 100.0;
-        heard.iter().for_each(|zone| evidence.observe_member(now, *zone, Some(*zone as u8)));
+        received.iter().for_each(|zone| evidence.observe_member(now, *zone, Some(*zone as u8)));
         changes.extend(evidence.tick(now).into_iter().map(|change| (now, change)));
     }
     changes
 }
 
 #[test]
-fn a_zone_that_falls_silent_is_lost_or_cut_off_after_the_limit_and_back_at_its_first_word() {
-    let mut evidence = informed();
-    let changes = pass(&mut evidence, 0.0, 20.0 * SECOND, &[1, 2, 3, 4]);
+fn a_silent_zone_is_lost_or_cut_off_after_the_limit_and_reachable_at_its_next_sign_of_life() {
+    let mut evidence = informed_evidence();
+    let changes = advance(&mut evidence, 0.0, 20.0 * SECOND, &[1, 2, 3, 4]);
     let expected = Change { zone: 5, reachability: Reachability::LostOrCutOff };
     assert_eq!(changes, [(limits().silence, expected)]);
     assert!(evidence.is_in_silent_zone(11) && !evidence.is_in_silent_zone(10));
@@ -43,57 +45,57 @@
 }
 
 #[test]
-fn half_of_the_roster_silent_is_a_cut_and_never_a_loss() {
-    let mut evidence = informed();
-    let changes = pass(&mut evidence, 0.0, 20.0 * SECOND, &[1, 2]);
+fn silent_zones_with_half_of_the_roster_are_cut_off() {
+    let mut evidence = informed_evidence();
+    let changes = advance(&mut evidence, 0.0, 20.0 * SECOND, &[1, 2]);
     let zones: Vec<usize> = changes.iter().map(|(_, change)| change.zone).collect();
     assert_eq!(zones, [3, 4, 5]);
     assert!(changes.iter().all(|(_, change)| change.reachability == Reachability::CutOff));
 }
 
 #[test]
-fn zones_that_fall_silent_one_after_the_other_turn_a_loss_into_a_cut() {
-    let mut evidence = informed();
-    pass(&mut evidence, 0.0, 10.0 * SECOND, &[1, 2, 3]);
+fn lost_or_cut_off_becomes_cut_off_as_more_zones_fall_silent() {
+    let mut evidence = informed_evidence();
+    advance(&mut evidence, 0.0, 10.0 * SECOND, &[1, 2, 3]);
     assert_eq!(evidence.reachability(5), Reachability::LostOrCutOff);
-    pass(&mut evidence, 10.0 * SECOND, 20.0 * SECOND, &[1, 2]);
+    advance(&mut evidence, 10.0 * SECOND, 20.0 * SECOND, &[1, 2]);
     assert!((3..6).all(|zone| evidence.reachability(zone) == Reachability::CutOff));
 }
 
 #[test]
-fn a_router_that_was_stopped_accuses_nobody_for_its_own_silence() {
-    let mut evidence = informed();
-    pass(&mut evidence, 0.0, SECOND, &[1, 2, 3, 4, 5]);
+fn a_router_that_was_stopped_takes_no_zone_for_silent_because_of_the_stop() {
+    let mut evidence = informed_evidence();
+    advance(&mut evidence, 0.0, SECOND, &[1, 2, 3, 4, 5]);
     let resumed = 60.0 * SECOND;
     assert!(evidence.tick(resumed).is_empty());
-    assert!(pass(&mut evidence, resumed, resumed + limits().silence - 200.0, &[]).is_empty());
+    assert!(advance(&mut evidence, resumed, resumed + limits().silence - 200.0, &[]).is_empty());
     assert!(
-        !pass(&mut evidence, resumed + limits().silence - 200.0, resumed + 10.0 * SECOND, &[]).is_empty()
+        !advance(&mut evidence, resumed + limits().silence - 200.0, resumed + 10.0 * SECOND, &[]).is_empty()
     );
-    // It doesn't pass on as fresh what it heard before it was stopped.
+    // Signs of life from before the stop are not reported as recent.
     assert_eq!(evidence.ages(resumed)[3], Age::UNKNOWN);
 }
 
 #[test]
-fn a_zone_that_was_never_heard_is_silent_only_once_the_start_is_over() {
+fn a_zone_without_any_sign_of_life_is_silent_only_after_the_start() {
     let mut evidence = ZoneEvidence::new(Some(0), ZoneMap::new(60, 0), 0.0, limits());
     evidence.learn_chunk(&MapChunk { first: 0, zones: [1; 24] });
-    let changes = pass(&mut evidence, 0.0, 10.0 * SECOND, &[]);
+    let changes = advance(&mut evidence, 0.0, 10.0 * SECOND, &[]);
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].0, limits().silence);
 }
 
 #[test]
-fn ones_own_zone_is_never_silent() {
-    let mut evidence = informed();
-    pass(&mut evidence, 0.0, 60.0 * SECOND, &[1, 2, 3, 4, 5]);
+fn the_own_zone_is_never_silent() {
+    let mut evidence = informed_evidence();
+    advance(&mut evidence, 0.0, 60.0 * SECOND, &[1, 2, 3, 4, 5]);
     assert_eq!(evidence.reachability(0), Reachability::Reachable);
     assert_eq!(evidence.ages(60.0 * SECOND)[0], Age::from_ms(0.0));
 }
 
 #[test]
-fn a_zone_in_doubt_is_pinged_directly_and_at_a_bounded_rate() {
-    let mut evidence = informed();
+fn a_stale_zone_is_pinged_directly_at_a_bounded_rate() {
+    let mut evidence = informed_evidence();
     let mut pings = Vec::new();
     let mut now = 0.0;
     while now < 20.0 * SECOND {
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn the_map_of_zones_is_learned_from_others_and_a_members_own_word_wins() {
+fn the_zone_map_is_learned_from_others_and_a_members_own_report_wins() {
     let mut known = ZoneMap::new(100, 0);
     (0..100u16).for_each(|member| known.learn_from_member(member, (member % 5) as u8));
     let mut learner = ZoneMap::new(100, 0);
@@ -137,37 +139,37 @@
         cases: 256, rng_seed: RngSeed::Fixed(71), failure_persistence: None, ..Config::default()
     })]
 
-    /// An age that is passed on, whatever the times it waits and travels up to 50 ms a hop, never gets
-    /// younger than the sign of life is.
+    /// An age that is relayed is never younger than the sign of life, however long it waits at each hop, with
+    /// transit times of up to 50 ms.
     #[test]
-    fn a_relayed_age_never_says_younger_than_it_is(
+    fn a_relayed_age_is_never_too_young(
         hops in prop::collection::vec((0.0f64..3_000.0, 0.0f64..50.0), 1..8)
     ) {
         let (mut at, mut now) = (0.0, 0.0);
-        for (waits, travels) in hops {
-            now += waits;
+        for (wait, transit) in hops {
+            now += wait;
             let Some(age) = Age::from_ms(now - at).to_ms() else { return Ok(()) };
-            now += travels;
+            now += transit;
             at = now - age;
-            prop_assert!(at <= 1e-6, "said to have lived at {at}");
+            prop_assert!(at <= 1e-6, "sign of life reported at {at}, after it was given at 0");
         }
     }
 
-    /// The order in which ages come, and whether they come twice, makes no difference.
+    /// Neither the order in which ages arrive nor their repetition matters.
     #[test]
     fn ages_merge_in_any_order(
-        ages in prop::collection::vec(prop::array::uniform12(any::<u8>()), 1..6), turn in any::<usize>()
+        ages in prop::collection::vec(prop::array::uniform12(any::<u8>()), 1..6), rotation in any::<usize>()
     ) {
         let merged = |order: &[[u8; MAX_ZONES]]| {
-            let mut evidence = informed();
+            let mut evidence = informed_evidence();
             for ages in order {
                 evidence.merge_ages(30_000.0, &ages.map(Age));
             }
             evidence.ages(30_000.0)
         };
-        let mut turned = ages.clone();
-        turned.rotate_left(turn % ages.len());
-        turned.push(ages[0]);
-        prop_assert_eq!(merged(&ages), merged(&turned));
+        let mut rotated = ages.clone();
+        rotated.rotate_left(rotation % ages.len());
+        rotated.push(ages[0]);
+        prop_assert_eq!(merged(&ages), merged(&rotated));
     }
 }
