--- a/crates/sessions/src/peer_set.rs
+++ b/crates/sessions/src/peer_set.rs
@@ -1,9 +1,9 @@
-//! A set of peers of one tier, small enough for one word.
+//! A set of peers of one tier, stored in one 64-bit word.
 
 /// The largest number of peers in a set.
 pub(crate) const MAX_PEERS: usize = u64::BITS as usize;
 
-/// Peers by index, a bit each. Indexes from [`MAX_PEERS`] on are never members.
+/// Peers by index, one bit each. Indexes from [`MAX_PEERS`] on are never members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PeerSet(u64);
 
--- a/crates/sessions/src/positions.rs
+++ b/crates/sessions/src/positions.rs
@@ -4,9 +4,9 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Positions by session, in Unix ms, as hosts report them. Where memory is short the oldest are evicted,
-/// and an evicted position becomes the floor under all sessions of its shard: eviction can only make a read
-/// require more.
+/// Positions by session, in Unix ms, as hosts report them. Beyond the capacity the oldest are evicted, and an
+/// evicted position becomes the floor under all sessions of its shard: eviction can only make a read require
+/// more.
 #[derive(Clone, Debug)]
 pub struct SessionPositions {
     shards: Vec<Shard>,
@@ -17,12 +17,12 @@
 struct Shard {
     /// The bits of each session's position.
     by_session: HashMap<u64, u64>,
-    /// The same as (position, session), the oldest first.
+    /// The same entries as (position, session), the oldest first.
     by_position: BTreeSet<(u64, u64)>,
     floor: f64,
 }
 
-/// A position's bits, which order as the numbers do from zero upwards.
+/// A position's bits, which sort like the numbers themselves from zero upwards.
 fn position_bits(position: f64) -> u64 {
     position.max(0.0).to_bits()
 }
@@ -71,19 +71,20 @@
 }
 
 impl SessionPositions {
-    /// Room for about `capacity` positions, spread over `shards`; at least one each.
+    /// A table of about `capacity` positions, divided among `shards`; at least one each.
     pub fn new(capacity: usize, shards: usize) -> SessionPositions {
         let shards = shards.max(1);
         let shard_capacity = (capacity / shards).max(1);
         SessionPositions { shards: vec![Shard::new(); shards], shard_capacity }
     }
 
-    /// Sessions are hashes already; the high bits are left to the tables' own hashing.
+    /// Sessions are hashes already, so a remainder spreads them evenly; the maps' own hashing uses the high
+    /// bits.
     fn shard_index(&self, session: u64) -> usize {
         (session % self.shards.len() as u64) as usize
     }
 
-    /// Records a commit of the session that was acknowledged, or is about to be. A position that is no
+    /// Records a commit of the session that was acknowledged, or is about to be. A position that is not a
     /// valid time is ignored, and so is one before the session's last.
     pub fn record(&mut self, session: u64, position: f64) {
         if !position.is_finite() || position < 0.0 {
--- a/crates/sessions/src/positions/tests.rs
+++ b/crates/sessions/src/positions/tests.rs
@@ -6,9 +6,9 @@
     Config { cases: 256, rng_seed: RngSeed::Fixed(17), failure_persistence: None, ..Config::default() }
 }
 
-/// A flood of new sessions evicts older positions, and then the older sessions come back.
+/// New sessions evict the positions of older ones, which then read again.
 #[test]
-fn a_flood_takes_no_more_room_and_sessions_that_return_require_no_less() {
+fn a_flood_of_sessions_stays_within_the_capacity_and_evicted_sessions_require_no_less() {
     let mut positions = SessionPositions::new(1_000, 16);
     (0..500u64).for_each(|session| positions.record(session, 1_000.0 + session as f64));
     (500..200_000u64).for_each(|session| positions.record(session, 2_000.0 + session as f64));
@@ -28,7 +28,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Beside a plain map that keeps everything: never less than it, and the same while there is room.
+    /// Compared with a plain map that keeps everything: never less, and the same while the capacity suffices.
     #[test]
     fn never_less_than_what_was_acknowledged(
         steps in prop::collection::vec((0u64..40, 0.0f64..1e6, prop::bool::weighted(0.02)), 1..300),
--- a/crates/sessions/src/requests.rs
+++ b/crates/sessions/src/requests.rs
@@ -1,32 +1,33 @@
-//! What the other routers of the tier know of a session: requested once a read has arrived, resolved once
-//! all have replied. The decision thread owns it; datagrams are carried elsewhere.
+//! Requests to the other routers of the tier for a session's position: sent once a read has arrived, resolved
+//! once all have replied. The decision thread owns them; datagrams are sent and received elsewhere.
 //!
 //! A reply counts for a read only if it was requested after that read had arrived: a write acknowledged
 //! through a peer before then is in the peer's reply, as a router records a commit before it writes the
 //! client's answer. So loss, delay, duplication and reordering can cost a reply, never make it wrong. A
 //! peer that has not replied to several requests in a row is silent: it may still serve clients that this
-//! router can't see, so until it is heard from again reads are resolved as fresh reads at once instead of
+//! router can't see, so until a message from it arrives reads are resolved as fresh reads at once instead of
 //! waiting for it.
 
 use crate::peer_set::{MAX_PEERS, PeerSet};
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeSet, HashMap};
 
-/// A second's requests over those that may be sent at once.
+/// The requests per second divided by those that may be sent at once.
 const BURSTS_PER_SECOND: f64 = 10.0;
 
 /// Intervals, in ms, and limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A request without a reply is sent again after this time.
+    /// A request without a reply is retried after this time.
     pub retry_interval: f64,
-    /// How often a request is sent in all.
+    /// How often a request is sent in total.
     pub max_attempts: u32,
     /// A peer is silent once it has missed this many requests in a row.
     pub max_misses: u32,
     /// Silent peers are pinged at this interval.
     pub ping_interval: f64,
-    /// Requests sent to peers a second; beyond it reads are fresh at once. A tenth of it may be sent at once.
+    /// Requests sent to peers per second; beyond it reads are fresh at once. A tenth of it may be sent at
+    /// once.
     pub requests_per_second: f64,
     /// Reads that may wait for replies at once; beyond it reads are fresh at once.
     pub max_waiting_reads: usize,
@@ -50,7 +51,7 @@
 pub enum RequiredPosition {
     /// At least this one, in Unix ms; minus infinity where the session has written nothing.
     AtLeast(f64),
-    /// Not known in time: the host must be as recent as for a fresh read.
+    /// Not known in time: the host must be as current as for a fresh read.
     Fresh,
 }
 
@@ -93,10 +94,10 @@
     peers: Vec<Peer>,
     /// Waiting reads by the number of their request.
     waiting: HashMap<u64, WaitingRead>,
-    /// The whole ms at which requests are due again, and their numbers.
+    /// The whole ms at which retries are due, and the numbers of their requests.
     retries: BTreeSet<(u64, u64)>,
     next_request: u64,
-    budget: TokenBucket,
+    rate_limiter: TokenBucket,
     pub counts: Counts,
 }
 
@@ -111,13 +112,13 @@
     pub requests: u64,
 }
 
-/// A time as a key of the retries' order: whole ms, rounded up.
+/// A time as a sort key of the retries: whole ms, rounded up.
 fn whole_ms(time: f64) -> u64 {
     time.max(0.0).ceil() as u64
 }
 
 impl PositionRequests {
-    /// A tier with that many other routers. Requests are numbered from `first_request`, which differs for
+    /// A tier with `peers` other routers. Requests are numbered from `first_request`, which differs for
     /// each incarnation of the router, so that late replies to an earlier one match no request of this one.
     pub fn new(peers: usize, limits: Limits, first_request: u64) -> PositionRequests {
         PositionRequests {
@@ -126,7 +127,7 @@
             waiting: HashMap::new(),
             retries: BTreeSet::new(),
             next_request: first_request,
-            budget: TokenBucket::new(
+            rate_limiter: TokenBucket::new(
                 limits.requests_per_second,
                 limits.requests_per_second / BURSTS_PER_SECOND,
             ),
@@ -167,7 +168,7 @@
             return self.resolve(read, RequiredPosition::AtLeast(own_position), actions);
         }
         let is_full = self.waiting.len() >= self.limits.max_waiting_reads;
-        if self.silent_peers() > 0 || is_full || !self.spend_budget(now, self.peers.len() as u32) {
+        if self.silent_peers() > 0 || is_full || !self.take_tokens(now, self.peers.len() as u32) {
             return self.resolve(read, RequiredPosition::Fresh, actions);
         }
         let request = self.next_request;
@@ -181,7 +182,7 @@
         actions.extend(unanswered.iter().map(|peer| Action::Request { peer, request, session }));
     }
 
-    /// The read needs no answer any more: its client has disconnected.
+    /// Removes a read whose client has disconnected.
     pub fn cancel(&mut self, read: u64) {
         let found = self.waiting.iter().find(|(_, waiting)| waiting.read == read);
         if let Some(request) = found.map(|(request, _)| *request) {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Sends again what is due, gives up what was sent often enough, pings silent peers.
+    /// Retries due requests, gives up those that reached their attempts, pings silent peers.
     pub fn tick(&mut self, now: f64, actions: &mut Vec<Action>) {
         while let Some((due, request)) = self.retries.first().copied()
             && due as f64 <= now
@@ -231,7 +232,7 @@
     fn retry_or_give_up(&mut self, now: f64, request: u64, actions: &mut Vec<Action>) {
         let Some(waiting) = self.waiting.get(&request) else { return };
         let (unanswered, attempts) = (waiting.unanswered, waiting.attempts);
-        if attempts >= self.limits.max_attempts || !self.spend_budget(now, unanswered.len()) {
+        if attempts >= self.limits.max_attempts || !self.take_tokens(now, unanswered.len()) {
             self.give_up(request, unanswered, actions);
         } else {
             self.retry(now, request, actions);
@@ -289,9 +290,9 @@
         (0..self.peers.len()).filter(|peer| self.peers[*peer].misses >= self.limits.max_misses).collect()
     }
 
-    /// True where so many requests may be sent now; they are then counted.
-    fn spend_budget(&mut self, now: f64, requests: u32) -> bool {
-        let may_send = self.budget.take(now, requests);
+    /// Takes the tokens for that many requests and counts them; false where they may not be sent now.
+    fn take_tokens(&mut self, now: f64, requests: u32) -> bool {
+        let may_send = self.rate_limiter.take(now, requests);
         if may_send {
             self.counts.requests += u64::from(requests);
         }
--- a/crates/sessions/src/token_bucket.rs
+++ b/crates/sessions/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket: limits a rate, and how much may come at once.
+//! A token bucket: limits a rate and the size of a burst.
 
 const MS_PER_SECOND: f64 = 1_000.0;
 
@@ -16,7 +16,7 @@
         TokenBucket { per_second, capacity, tokens: capacity, refilled_at: 0.0 }
     }
 
-    /// Takes that many tokens; false, and none taken, where there are fewer. `now` is in ms.
+    /// Takes `count` tokens; takes none and returns false where there are fewer. `now` is in ms.
     pub fn take(&mut self, now: f64, count: u32) -> bool {
         self.refill(now);
         let wanted = f64::from(count);
--- a/crates/sessions/tests/tier.rs
+++ b/crates/sessions/tests/tier.rs
@@ -1,7 +1,7 @@
-//! A tier of three routers under loss, delay, duplication, reordering, partitions and restarts, by seed,
-//! beside a plain record of all acknowledged writes: no read may be resolved below a write of its session
-//! that was acknowledged before it arrived. Without requests to peers, or without the floor after a
-//! restart, the same run must show such reads.
+//! Simulates a tier of three routers under loss, delay, duplication, reordering, partitions and restarts, by
+//! seed, and compares it with a plain record of all acknowledged writes: no read may be resolved below a
+//! write of its session that was acknowledged before it arrived. Without requests to peers, or without the
+//! floor after a restart, the same run must show such reads.
 
 use magpiewell_sessions::positions::SessionPositions;
 use magpiewell_sessions::requests::{Action, Limits, PositionRequests, RequiredPosition};
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Defect {
     None,
-    /// Reads are resolved by what their own router knows.
+    /// Reads are resolved with the position of their own router only.
     NoRequests,
     /// A router that restarts raises no floor.
     NoFloor,
@@ -30,7 +30,7 @@
     Ack { from: usize },
 }
 
-/// A read's number tells its router in the bits above these.
+/// A read's number holds its router in the bits above these.
 const READ_BITS: u32 = 48;
 
 fn new_positions() -> SessionPositions {
@@ -54,7 +54,7 @@
     in_flight: BTreeMap<(u64, u64), (usize, Message)>,
     sent: u64,
     now: f64,
-    /// The last acknowledged commit of each session, the truth.
+    /// The last acknowledged commit of each session: the reference.
     acknowledged: HashMap<u64, f64>,
     /// The position that each waiting read must at least require, by its number.
     expected: HashMap<u64, f64>,
@@ -163,8 +163,7 @@
         self.act(to, actions);
     }
 
-    /// The router loses its waiting reads, whose clients repeat them elsewhere, and the positions that it
-    /// kept.
+    /// The router loses its waiting reads, whose clients retry them elsewhere, and its positions.
     fn restart(&mut self, router: usize) {
         self.expected.retain(|read, _| read >> READ_BITS != router as u64);
         let clock_offset = self.routers[router].clock_offset;
@@ -181,7 +180,7 @@
         self.now += 1.0;
         self.deliver_due();
         self.inject_faults();
-        // A session writes here and reads there, faster than a datagram travels.
+        // A session writes through one router and reads through another, faster than a datagram arrives.
         for _ in 0..2 {
             let router = self.rng.next_u32() as usize % ROUTERS;
             let session = u64::from(self.rng.next_u32()) % SESSIONS;
@@ -258,7 +257,8 @@
         for loss in [0.0, 0.1, 0.3] {
             let tier = Tier::new(seed, loss, Defect::None).run(20_000);
             assert_eq!(tier.stale, 0, "seed {seed}, loss {loss}: of {} known of {}", tier.known, tier.reads);
-            // Not by always requiring a fresh read either: partitions, restarts and late replies cost a part.
+            // Nor may all reads be fresh reads: partitions, restarts and late replies account for a part
+            // only.
             let least = if loss < 0.2 { 0.5 } else { 0.1 };
             assert!(tier.known as f64 > least * tier.reads as f64, "{} of {}", tier.known, tier.reads);
         }
@@ -288,9 +288,10 @@
     }
 }
 
-/// Reads beyond the budget of requests, or beyond those that may wait, are fresh at once and cost nothing.
+/// Reads beyond the rate limit of requests, or beyond those that may wait, are fresh at once and send
+/// nothing.
 #[test]
-fn a_flood_of_reads_keeps_to_the_budget() {
+fn a_flood_of_reads_keeps_to_the_request_rate() {
     let limits = Limits { requests_per_second: 1_000.0, max_waiting_reads: 5_000, ..Limits::default() };
     let (mut requests, mut actions) = (PositionRequests::new(2, limits, 0), Vec::new());
     (0..10_000).for_each(|read| requests.read_arrived(0.0, read, read, 0.0, &mut actions));
@@ -298,7 +299,7 @@
         |action: &&Action| matches!(action, Action::Resolved { required: RequiredPosition::Fresh, .. });
     let fresh = actions.iter().filter(is_fresh).count();
     assert_eq!((requests.waiting_reads(), fresh), (50, 9_950));
-    // A tenth of a second's worth, two for each read.
+    // The requests of a tenth of a second, two for each read.
     let sent = actions.iter().filter(|action| matches!(action, Action::Request { .. })).count();
     assert_eq!(sent, 100);
     (0..50).for_each(|read| requests.cancel(read));
--- a/crates/splitmix/src/lib.rs
+++ b/crates/splitmix/src/lib.rs
@@ -1,8 +1,8 @@
 //! SplitMix64 (Steele, Lea and Flood, 2014): a small generator of pseudo-random numbers, and its parts as
 //! integer hashes.
 //!
-//! Every function gives the same numbers on every machine and in every version: routers of a tier compare
-//! what they compute with them. They are not for secrets.
+//! Every function gives the same numbers on every machine and in every version, as routers of a tier compare
+//! results computed from them. Not suitable for cryptography.
 
 /// The odd constant by which the generator's state advances: 2^64 divided by the golden ratio.
 pub const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
