--- a/crates/budget/tests/collapse.rs
+++ b/crates/budget/tests/collapse.rs
@@ -47,7 +47,7 @@
     next_at: f64,
     /// Waits for an answer or to be accepted.
     is_waiting: bool,
-    /// Tells an answer to the present request from a late one.
+    /// Distinguishes the answer to the present request from a late one.
     serial: u32,
     /// Malformed messages, or retries before the retry-after time.
     violations: u32,
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Runs the model for so long; returns the ops served per second.
+    /// Runs the model for `seconds`; returns the ops served per second.
     fn run(&mut self, seconds: f64) -> f64 {
         let before = self.served;
         for _ in 0..(seconds * 1000.0 / STEP_MS) as usize {
@@ -265,7 +265,7 @@
     }
 }
 
-/// The number of well-behaved clients whose load is so many times what the grant can serve.
+/// The number of well-behaved clients whose load is `times` what the grant can serve.
 fn clients_for(times: f64) -> usize {
     let ops_per_second = CORES * 1000.0 / OP_COST_MS;
     (times * ops_per_second * THINK_TIME_MS / 1000.0) as usize
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -98,7 +98,7 @@
 ///
 /// They are chosen by weighted rendezvous hashing, the least `-ln(u)/w` first. A replica's weight is its
 /// share of its zone's capacity, times what this router's zone sends there (see [`zone_shares`]), so that a
-/// zone's routers don't overload the few replicas that are near.
+/// zone's routers don't overload the few local replicas.
 pub fn preferred_replicas(
     group: u32,
     me: Router,
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -5,7 +5,7 @@
 /// Times in ms.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A zone without a sign of life for so long is silent.
+    /// A zone without a sign of life for this long is silent.
     pub silence: f64,
     /// A zone whose latest sign of life is older than this is also pinged directly.
     pub direct_after: f64,
@@ -40,7 +40,7 @@
     }
 }
 
-/// What is believed of a zone as a whole.
+/// Whether the routers of a zone as a whole can be reached, as far as this router can judge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reachability {
     #[default]
