--- a/crates/router/src/tier.rs
+++ b/crates/router/src/tier.rs
@@ -1,5 +1,6 @@
-//! The thread between this router and its peers: a socket, a timer, and what the decision thread has observed. It
-//! decides nothing: `magpiewell_tier` says which datagrams and events come of it.
+//! The peer thread: exchanges datagrams with the other routers of the tier. Its inputs are a socket, a timer and the
+//! observations of the decision thread. The protocol is in `magpiewell_tier`, which decides what to send and which
+//! events to report.
 
 use crate::event::Event;
 use crate::shared::Shared;
@@ -19,53 +20,56 @@
 
 const SOCKET: Token = Token(0);
 const WAKE: Token = Token(1);
-/// How often, in a probe period, primaries are asked for while they are changing.
+/// How often per probe period missing primaries are requested while primaries are changing.
 const PULLS_PER_PROBE_PERIOD: f64 = 2.0;
-/// How long an ack is waited for: a probe period has so many such times.
+/// The time-out of an ack is the probe period divided by this.
 const ACK_TIMEOUTS_PER_PROBE_PERIOD: f64 = 5.0;
-/// A tick that is late by so many ticks shows that the process was stopped.
-const TICKS_OF_A_PAUSE: f64 = 4.0;
+/// A tick that is late by this many ticks shows that the process was paused.
+const PAUSE_THRESHOLD_TICKS: f64 = 4.0;
 
-/// Passes what the decision thread has observed to the thread between peers.
+/// Passes observations of the decision thread to the peer thread.
 pub struct ObservationSender {
-    to: Sender<Observation>,
+    sender: Sender<Observation>,
     waker: Waker,
 }
 
 impl ObservationSender {
-    /// Passes an observation on; never waits.
+    /// Passes an observation on; never blocks.
     pub fn send(&self, observation: Observation) {
-        // Full: this observation is not passed on; it will be made again.
-        if self.to.try_send(observation).is_ok() {
+        // If the queue is full the observation is dropped; it will be made again.
+        if self.sender.try_send(observation).is_ok() {
             drop(self.waker.wake());
         }
     }
 }
 
-/// The work of the thread between this router and its peers.
-pub struct Peers {
+/// The peer thread's state.
+pub struct PeerLoop {
     shared: Arc<Shared>,
     events: Sender<Event>,
     socket: UdpSocket,
     poll: Poll,
     observations: Receiver<Observation>,
     tier: Tier,
+    /// Addresses of the tier's members, by member id.
     peers: Vec<SocketAddr>,
-    numbers: HashMap<SocketAddr, u16>,
+    /// Member ids by address.
+    member_ids: HashMap<SocketAddr, u16>,
+    /// Datagrams dropped, as last logged.
     dropped: Dropped,
-    /// Groups and hosts whose facts were dropped for want of room, as last logged.
+    /// Groups and hosts whose facts were evicted because the store was full, as last logged.
     evicted: u64,
-    strangers: u64,
+    /// Datagrams from addresses that are no member's.
+    unknown_senders: u64,
 }
 
-/// The thread's work, not yet running; none where the platform does not let routers tell one another
-/// anything. An error names the address.
+/// The peer loop, not running yet; `None` where routers may not exchange anything. Errors name the address.
 pub fn new(
     shared: &Arc<Shared>,
     events: Sender<Event>,
     start: &StartupOptions,
     terms: &TierOptions,
-) -> Result<Option<(Peers, ObservationSender)>, String> {
+) -> Result<Option<(PeerLoop, ObservationSender)>, String> {
     let Some(roster) = start.roster.clone()? else { return Ok(None) };
     let listen = roster.listen_addr;
     let open = || {
@@ -75,19 +79,19 @@
         let waker = Waker::new(poll.registry(), WAKE)?;
         Ok((poll, socket, waker))
     };
-    let opened = open().map_err(|e: std::io::Error| format!("cannot hear peers at {listen}: {e}"));
+    let opened = open().map_err(|e: std::io::Error| format!("cannot listen for peers at {listen}: {e}"));
     let (poll, socket, waker) = opened?;
-    let (to, observations) = crossbeam_channel::bounded(shared.limits.max_observations);
+    let (sender, observations) = crossbeam_channel::bounded(shared.limits.max_observations);
     let limits = limits(terms, shared.limits.peers_tick);
     let zone = u8::try_from(start.terms.zone).ok();
     let started = shared.clock.now().max(0.0) as u64;
     let key = terms.key.as_deref().map(Key::new);
     let identity = Identity { local: roster.local, roster_size: roster.addrs.len(), zone, started };
     let tier = Tier::new(identity, start.seed, key, limits).map_err(|e| format!("'peers': {e}"))?;
-    let numbers = roster.addrs.iter().copied().zip(0..).collect();
+    let member_ids = roster.addrs.iter().copied().zip(0..).collect();
     let (shared, peers) = (shared.clone(), roster.addrs);
     let dropped = Dropped::default();
-    let peers = Peers {
+    let peer_loop = PeerLoop {
         shared,
         events,
         socket,
@@ -95,15 +99,15 @@
         observations,
         tier,
         peers,
-        numbers,
+        member_ids,
         dropped,
         evicted: 0,
-        strangers: 0,
+        unknown_senders: 0,
     };
-    Ok(Some((peers, ObservationSender { to, waker })))
+    Ok(Some((peer_loop, ObservationSender { sender, waker })))
 }
 
-/// The limits of a tier whose template says this, and whose time is advanced so often.
+/// The limits of a tier with these settings and this tick.
 pub fn limits(terms: &TierOptions, tick: Duration) -> Limits {
     let mut limits = Limits {
         fanout: terms.fanout,
@@ -117,12 +121,12 @@
     };
     limits.members.probe_period = terms.probe_period_ms;
     limits.members.ack_timeout = terms.probe_period_ms / ACK_TIMEOUTS_PER_PROBE_PERIOD;
-    limits.members.pause_threshold = tick.as_secs_f64() * 1_000.0 * TICKS_OF_A_PAUSE;
+    limits.members.pause_threshold = tick.as_secs_f64() * 1_000.0 * PAUSE_THRESHOLD_TICKS;
     limits
 }
 
-impl Peers {
-    /// Runs until the router is asked to stop: then says that it leaves, and ends.
+impl PeerLoop {
+    /// Runs until the router is asked to stop, then announces its departure to peers and ends.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(16);
         let mut buf = [0; 2 * magpiewell_peers::MAX_DATAGRAM];
@@ -131,58 +135,58 @@
             let wait = self.shared.clock.until(tick_at).min(self.shared.limits.peers_tick);
             match self.poll.poll(&mut events, Some(wait.max(Duration::from_millis(1)))) {
                 Err(e) if e.kind() != std::io::ErrorKind::Interrupted => {
-                    tracing::error!(error = %e, "peers can't be heard");
+                    tracing::error!(error = %e, "cannot poll the peer socket");
                     std::thread::sleep(self.shared.limits.accept_check);
                 }
                 _ => {}
             }
             if self.shared.is_stopping() {
                 let output = self.tier.leave(self.shared.clock.now());
-                self.perform(output);
+                self.handle_output(output);
                 let Sent { datagrams, bytes } = self.tier.sent();
-                return tracing::info!(datagrams, bytes, "told peers that this router leaves");
+                return tracing::info!(datagrams, bytes, "announced departure to peers");
             }
             self.receive_datagrams(&mut buf);
-            self.take_observations();
+            self.process_observations();
             let now = self.shared.clock.now();
             if now >= tick_at {
                 tick_at = now + self.shared.limits.peers_tick.as_secs_f64() * 1_000.0;
                 let output = self.tier.tick(now);
-                self.perform(output);
+                self.handle_output(output);
             }
             if now >= figures_at {
                 figures_at = now + self.shared.limits.figures_ms;
-                self.figures();
+                self.log_figures();
             }
         }
     }
 
-    /// Takes in all datagrams that have arrived.
+    /// Processes all datagrams that have arrived.
     fn receive_datagrams(&mut self, buf: &mut [u8]) {
         while let Ok((length, from)) = self.socket.recv_from(buf) {
-            let Some(member) = self.numbers.get(&from) else {
-                self.strangers += 1;
+            let Some(member) = self.member_ids.get(&from) else {
+                self.unknown_senders += 1;
                 continue;
             };
             let output = self.tier.receive(self.shared.clock.now(), *member, &buf[..length]);
-            self.perform(output);
+            self.handle_output(output);
         }
     }
 
-    /// Takes in all that the decision thread has observed meanwhile.
-    fn take_observations(&mut self) {
+    /// Processes all queued observations of the decision thread.
+    fn process_observations(&mut self) {
         while let Ok(observation) = self.observations.try_recv() {
             let output = self.tier.observe(self.shared.clock.now(), observation);
-            self.perform(output);
+            self.handle_output(output);
         }
     }
 
-    /// Sends the datagrams and passes the events to the decision thread.
-    fn perform(&mut self, output: Output) {
+    /// Sends datagrams, logs zone changes, and passes events to the decision thread.
+    fn handle_output(&mut self, output: Output) {
         for datagram in output.datagrams {
-            if let Some(to) = self.peers.get(usize::from(datagram.to)) {
-                // Not taken: as lost on the way.
-                drop(self.socket.send_to(&datagram.bytes, *to));
+            if let Some(addr) = self.peers.get(usize::from(datagram.to)) {
+                // A failed send counts as a lost datagram, which the protocol tolerates.
+                drop(self.socket.send_to(&datagram.bytes, *addr));
             }
         }
         output.zone_changes.iter().for_each(log_zone_change);
@@ -191,36 +195,54 @@
         }
     }
 
-    /// Logs counts, and what was dropped since they were last logged.
-    fn figures(&mut self) {
+    /// Logs counts, and warns if datagrams were dropped or facts evicted since they were last logged.
+    fn log_figures(&mut self) {
         let (Sent { datagrams, bytes }, dropped) = (self.tier.sent(), self.tier.dropped());
         let counted = self.tier.members().counted_size();
         let Sizes { groups, hosts, queued: waiting, evicted } = self.tier.facts().sizes();
-        tracing::info!(counted, datagrams, bytes, groups, hosts, waiting, strangers = self.strangers, "tier");
+        tracing::info!(
+            counted,
+            datagrams,
+            bytes,
+            groups,
+            hosts,
+            waiting,
+            strangers = self.unknown_senders,
+            "tier"
+        );
         if dropped != self.dropped {
-            tracing::warn!(?dropped, "peers' datagrams were dropped");
+            tracing::warn!(?dropped, "dropped datagrams from peers");
             self.dropped = dropped;
         }
         if evicted != self.evicted {
-            tracing::warn!(evicted, groups, hosts, "there are more groups or hosts than facts are kept of");
+            tracing::warn!(
+                evicted,
+                groups,
+                hosts,
+                "evicted facts: more groups or hosts than the fact store holds"
+            );
             self.evicted = evicted;
         }
     }
 }
 
-/// Says what is believed of a zone, and that a silent one may be lost or cut off.
+/// Logs a zone's new reachability.
 fn log_zone_change(change: &ZoneChange) {
     let ZoneChange { zone, reachability, members } = *change;
     match reachability {
-        Reachability::Reachable => tracing::info!(zone, members, "zone is heard again"),
+        Reachability::Reachable => tracing::info!(zone, members, "zone is reachable again"),
         Reachability::LostOrCutOff => {
-            tracing::warn!(zone, members, "zone is silent: lost or cut off; its routers don't count");
+            tracing::warn!(
+                zone,
+                members,
+                "zone is unreachable: lost or cut off; its routers are not counted"
+            );
         }
         Reachability::CutOff => {
             tracing::warn!(
                 zone,
                 members,
-                "zone is silent, with half of the routers or more: a cut; all count on"
+                "zone is unreachable, with half of the routers or more: partitioned; all stay counted"
             );
         }
     }
