--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -1,29 +1,32 @@
-//! What hosts answer: read message by message, each checked before it acts, then judged as an ending.
+//! Reads hosts' answers message by message, checks each message before using it, and derives the ending of the
+//! job.
 
-use crate::probe::Told;
+use crate::probe::HostStatus;
 use magpiewell::Ending;
 use magpiewell_pg::{frame, validate};
 
-/// How a job went.
-pub struct Result {
+/// The result of a job on a host connection.
+pub struct JobResult {
     pub ending: Ending,
-    /// A served answer as the host gave it.
+    /// The host's answer to an op that it served, unchanged.
     pub answer: Vec<u8>,
-    pub told: Told,
+    pub host_status: HostStatus,
     /// The connection can take another job.
-    pub open: bool,
+    pub is_reusable: bool,
 }
 
-pub fn ended(ending: Ending) -> Result {
-    Result { ending, answer: Vec::new(), told: Told::default(), open: false }
+/// The result of a job without an answer; its connection is not reused.
+pub fn without_answer(ending: Ending) -> JobResult {
+    JobResult { ending, answer: Vec::new(), host_status: HostStatus::default(), is_reusable: false }
 }
 
-/// What came last of an answer.
+/// How far the answer has been read: the last message that matters to the order of messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Last {
-    /// The host has not admitted the connection yet.
-    Opening,
-    Nothing,
+enum ReadState {
+    /// The host has not accepted the connection yet.
+    Startup,
+    /// Nothing of the answer has been read yet.
+    Waiting,
     Description,
     Row,
     Completion,
@@ -31,108 +34,123 @@
     Ready,
 }
 
-/// An answer as it is read, message by message.
-pub struct Reading {
-    last: Last,
-    /// Only the opening is read, no answer is expected.
-    only: bool,
-    /// How the answer's completion must read.
-    tag: &'static [u8],
+/// Reads one answer.
+pub struct AnswerReader {
+    state: ReadState,
+    /// Only the startup phase is read; no answer is expected.
+    is_startup_only: bool,
+    /// The command tag that the answer must complete with.
+    expected_tag: &'static [u8],
     answer: Vec<u8>,
     value: Vec<u8>,
-    code: Vec<u8>,
-    told: Told,
-    /// The host did not let the connection in.
-    refused: bool,
-    spoilt: bool,
+    error_code: Vec<u8>,
+    host_status: HostStatus,
+    /// The host rejected the connection.
+    is_rejected: bool,
+    is_malformed: bool,
 }
 
-impl Reading {
-    /// On a connection that is still to be opened, or to be opened and no more.
-    pub fn new(opening: bool, only: bool, tag: &'static [u8]) -> Reading {
-        let last = if opening { Last::Opening } else { Last::Nothing };
-        let (answer, value, code, told) = Default::default();
-        Reading { last, only, tag, answer, value, code, told, refused: false, spoilt: false }
+impl AnswerReader {
+    /// `is_new`: the connection is new, so its startup phase comes first. `is_startup_only`: no answer follows it.
+    pub fn new(is_new: bool, is_startup_only: bool, expected_tag: &'static [u8]) -> AnswerReader {
+        let state = if is_new { ReadState::Startup } else { ReadState::Waiting };
+        let (answer, value, error_code, host_status) = Default::default();
+        AnswerReader {
+            state,
+            is_startup_only,
+            expected_tag,
+            answer,
+            value,
+            error_code,
+            host_status,
+            is_rejected: false,
+            is_malformed: false,
+        }
     }
 
     /// Nothing more is to be read.
-    pub fn done(&self) -> bool {
-        self.last == Last::Ready || self.spoilt
+    pub fn is_done(&self) -> bool {
+        self.state == ReadState::Ready || self.is_malformed
     }
 
-    /// The host has let the connection in.
-    pub fn admitted(&self) -> bool {
-        self.last == Last::Ready && !self.refused && !self.spoilt
+    /// The host has accepted the connection.
+    pub fn is_accepted(&self) -> bool {
+        self.state == ReadState::Ready && !self.is_rejected && !self.is_malformed
     }
 
-    /// What follows can't be read: the answer is spoilt from here on.
-    pub fn spoil(&mut self) {
-        self.spoilt = true;
+    /// Marks the answer as malformed: what follows can't be read.
+    pub fn mark_malformed(&mut self) {
+        self.is_malformed = true;
     }
 
-    /// One message: its kind, its body, and all of it. One out of its place spoils the answer.
-    pub fn take(&mut self, kind: u8, body: &[u8], whole: &[u8]) {
-        let next = match (kind, self.last) {
-            (b'Z', Last::Opening) if self.only => Some(Last::Ready),
-            (b'Z', Last::Opening) => Some(Last::Nothing),
-            (b'Z', Last::Completion | Last::Error) => Some(Last::Ready),
-            // Authentication without a password, keys to cancel with, another version of the protocol.
-            (b'R', Last::Opening) => Some(self.last).filter(|_| body == [0; 4]),
-            (b'K' | b'v', Last::Opening) => Some(self.last),
-            (b'N', _) => Some(self.last),
+    /// Reads one message: its kind, its body, and the whole message. A message out of order makes the answer
+    /// malformed.
+    pub fn read_message(&mut self, kind: u8, body: &[u8], message: &[u8]) {
+        let next = match (kind, self.state) {
+            (b'Z', ReadState::Startup) if self.is_startup_only => Some(ReadState::Ready),
+            (b'Z', ReadState::Startup) => Some(ReadState::Waiting),
+            (b'Z', ReadState::Completion | ReadState::Error) => Some(ReadState::Ready),
+            // Authentication without a password, the cancellation key, protocol version negotiation.
+            (b'R', ReadState::Startup) => Some(self.state).filter(|_| body == [0; 4]),
+            (b'K' | b'v', ReadState::Startup) => Some(self.state),
+            (b'N', _) => Some(self.state),
             (b'S', _) => {
-                // One that can't be read is passed over alone: the answer beside it may be good.
+                // An unreadable parameter is skipped on its own: the answer beside it may be good.
                 if let Some((name, value)) =
-                    validate::parameter_status(body).filter(|_| self.last != Last::Opening)
+                    validate::parameter_status(body).filter(|_| self.state != ReadState::Startup)
                 {
-                    self.told.parameter(name, value);
+                    self.host_status.read_parameter(name, value);
                 }
-                Some(self.last)
+                Some(self.state)
+            }
+            (b'T', ReadState::Waiting) => Some(ReadState::Description),
+            (b'D', ReadState::Description) => Some(ReadState::Row),
+            (b'C', ReadState::Row) => {
+                Some(ReadState::Completion).filter(|_| validate::is_completion(body, self.expected_tag))
             }
-            (b'T', Last::Nothing) => Some(Last::Description),
-            (b'D', Last::Description) => Some(Last::Row),
-            (b'C', Last::Row) => Some(Last::Completion).filter(|_| validate::is_completion(body, self.tag)),
-            (b'E', Last::Opening | Last::Nothing | Last::Description | Last::Row) => {
-                self.code = validate::sqlstate(body).unwrap_or_default().to_vec();
-                self.refused = self.last == Last::Opening;
-                // One who is not let in is told no more.
-                let next = if self.refused { Last::Ready } else { Last::Error };
-                Some(next).filter(|_| !self.code.is_empty())
+            (b'E', ReadState::Startup | ReadState::Waiting | ReadState::Description | ReadState::Row) => {
+                self.error_code = validate::sqlstate(body).unwrap_or_default().to_vec();
+                self.is_rejected = self.state == ReadState::Startup;
+                // After rejecting a connection the host sends nothing more.
+                let next = if self.is_rejected { ReadState::Ready } else { ReadState::Error };
+                Some(next).filter(|_| !self.error_code.is_empty())
             }
             _ => None,
         };
-        let Some(next) = next else { return self.spoil() };
+        let Some(next) = next else { return self.mark_malformed() };
         if matches!(kind, b'T' | b'D' | b'C') {
-            self.answer.extend_from_slice(whole);
+            self.answer.extend_from_slice(message);
         }
         if kind == b'D' {
             self.value = frame::first_column(body).unwrap_or_default().to_vec();
         }
-        self.last = next;
+        self.state = next;
     }
 
-    /// What it comes to; `broke` says how reading ended where the answer is not whole. `more` stands behind it:
-    /// the answer is good, the connection is of no more use.
-    pub fn result(self, broke: Option<Ending>, more: bool, probe: bool) -> Result {
-        if self.spoilt {
-            // It may have run; nothing that came with it can be believed.
-            return ended(Ending::Spoilt);
+    /// The result of the job. `read_end` is how reading ended where the answer is incomplete. `has_excess`:
+    /// bytes follow the answer; the answer is good, but the connection can't be reused.
+    pub fn into_result(self, read_end: Option<Ending>, has_excess: bool, is_probe: bool) -> JobResult {
+        if self.is_malformed {
+            // The op may have run; nothing received with it can be trusted.
+            return without_answer(Ending::Spoilt);
         }
-        let row = self.last == Last::Completion || (self.last == Last::Ready && self.code.is_empty());
-        let ending = match (self.code.as_slice(), broke) {
-            // Not admitted, most likely for too many connections: nothing of the job was looked at.
-            _ if self.refused => Ending::Unreached,
+        let has_row = self.state == ReadState::Completion
+            || (self.state == ReadState::Ready && self.error_code.is_empty());
+        let ending = match (self.error_code.as_slice(), read_end) {
+            // The connection was rejected, most likely for too many connections: the host never saw the job.
+            _ if self.is_rejected => Ending::Unreached,
             (b"53300" | b"57P03", _) => Ending::Full,
             (b"25006" | b"72000", _) => Ending::Missed,
-            (b"", _) if row => Ending::Acked,
+            (b"", _) if has_row => Ending::Acked,
             (b"", Some(ending)) => ending,
             _ => Ending::Errored,
         };
-        let mut told = self.told;
-        if probe && ending == Ending::Acked {
-            told.report(std::str::from_utf8(&self.value).unwrap_or(""));
+        let mut host_status = self.host_status;
+        if is_probe && ending == Ending::Acked {
+            host_status.read_report(std::str::from_utf8(&self.value).unwrap_or(""));
         }
-        let open = self.last == Last::Ready && broke.is_none() && !more && !self.refused;
-        Result { ending, answer: self.answer, told, open }
+        let is_reusable =
+            self.state == ReadState::Ready && read_end.is_none() && !has_excess && !self.is_rejected;
+        JobResult { ending, answer: self.answer, host_status, is_reusable }
     }
 }
--- a/crates/router/src/event.rs
+++ b/crates/router/src/event.rs
@@ -1,13 +1,15 @@
-//! What the stages tell the decision thread, and the statement that travels with an op. Knows no stage.
-use crate::answer::Result;
+//! Events for the decision thread, and the statement of an op.
+
+use crate::answer::JobResult;
 use crate::client::Client;
 use crate::op_facts::OpFacts;
 use crate::shared::MemoryReservation;
 use std::ops::Range;
 use std::sync::Arc;
 
+/// An event that another thread sends to the decision thread.
 pub enum Event {
-    /// A client's op, taken whole at a time on the router's clock.
+    /// A client's op was read in full at `arrived_at` on the router's clock.
     OpArrived {
         client: Arc<Client>,
         seq: u64,
@@ -15,26 +17,27 @@
         statement: Arc<Statement>,
         arrived_at: f64,
     },
-    /// A client has gone and left commands open.
+    /// A client disconnected with commands still open.
     ClientDisconnected { client: u64 },
-    /// A connection's job is over.
-    JobFinished { conn: u64, result: Box<Result> },
-    /// A connection ended idle; nothing was written of a job it may have been given meanwhile.
-    IdleConnectionClosed { conn: u64 },
-    /// The share of ops that processor time is there for, and when others may come back, in ms.
+    /// The job of a host connection has finished.
+    JobFinished { conn_id: u64, result: Box<JobResult> },
+    /// A host connection was closed while idle; nothing was written of a job assigned to it meanwhile.
+    IdleConnectionClosed { conn_id: u64 },
+    /// The share of ops that the available processor time allows, and when rejected clients may retry, in ms.
     AdmissionChanged { share: f64, retry_after_ms: f64 },
-    /// Peers have told something.
+    /// Facts received from peers.
     PeerFacts(Vec<magpiewell_tier::PeerFact>),
-    /// The list has news.
+    /// A response of the host list, or its failure, is waiting in the list's own channel.
     ListResponse,
-    /// All clients have been answered.
+    /// All clients have been answered; the decision thread ends.
     Stop,
 }
 
-/// A statement as the client wrote it, and where its wait stands.
+/// A statement as the client wrote it, and the position of its timeout.
 pub struct Statement {
     pub text: Vec<u8>,
     pub is_write: bool,
+    /// The bytes of `text` that state the client timeout.
     pub timeout_range: Range<usize>,
     #[allow(dead_code, reason = "counts as held until dropped")]
     pub held: MemoryReservation,
--- a/crates/router/src/host_loop.rs
+++ b/crates/router/src/host_loop.rs
@@ -1,9 +1,9 @@
-//! The hosts' loop: one thread watches all connections to hosts, opens them, writes jobs on them and reads what
-//! comes back. The decision thread gives it orders; it tells what came of them, and decides nothing.
+//! The host loop: one thread that polls all connections to hosts, opens them, writes jobs to them and reads the
+//! answers. It executes the decision thread's commands, reports the results as events, and decides nothing.
 
-use crate::answer::ended;
+use crate::answer::without_answer;
 use crate::event::Event;
-use crate::send::{Connection, Job, Line, Step};
+use crate::send::{Connection, Job, JobProgress, Step};
 use crate::shared::Shared;
 use crate::timers::Timers;
 use crossbeam_channel::{Receiver, Sender, TryRecvError};
@@ -17,149 +17,155 @@
 
 const WAKE: Token = Token(usize::MAX);
 
+/// A command of the decision thread.
 pub enum Command {
     /// Opens a connection for a job.
-    Open { no: u64, addr: SocketAddr, line: Arc<Line>, job: Job },
-    /// A job for an idle connection. Where that has just ended the loop has told so already.
-    Carry { no: u64, job: Job },
+    Open { conn_id: u64, addr: SocketAddr, progress: Arc<JobProgress>, job: Job },
+    /// Runs a job on an idle connection. Ignored if the connection has just ended, which the loop has then reported.
+    Run { conn_id: u64, job: Job },
     /// Closes an idle connection.
-    Close { no: u64 },
+    Close { conn_id: u64 },
 }
 
-/// Where the decision thread gives its orders; several at once wake the loop once.
+/// Sends commands to the host loop. Several commands wake the loop once.
 pub struct CommandSender {
-    to: Sender<Command>,
+    sender: Sender<Command>,
     waker: Waker,
-    /// Some have been given since the loop was last woken.
-    waiting: Cell<bool>,
+    /// Commands have been sent since the loop was last woken.
+    needs_wake: Cell<bool>,
 }
 
 impl CommandSender {
-    pub fn give(&self, order: Command) {
-        drop(self.to.send(order));
-        self.waiting.set(true);
+    /// Queues a command; the loop executes it once it is woken.
+    pub fn send(&self, command: Command) {
+        drop(self.sender.send(command));
+        self.needs_wake.set(true);
     }
 
+    /// Wakes the loop if commands have been sent since the last wake.
     pub fn wake(&self) {
-        if self.waiting.take() {
+        if self.needs_wake.take() {
             drop(self.waker.wake());
         }
     }
 }
 
-pub struct Hosts {
+pub struct HostLoop {
     shared: Arc<Shared>,
     events: Sender<Event>,
     poll: Poll,
-    orders: Receiver<Command>,
+    commands: Receiver<Command>,
     connections: HashMap<u64, Connection>,
     timers: Timers,
     scratch: Vec<u8>,
 }
 
-/// A loop, not yet running, and where it takes its orders. It ends once nobody can give it any.
-pub fn new(shared: &Arc<Shared>, events: Sender<Event>) -> std::io::Result<(Hosts, CommandSender)> {
+/// A loop that is not running yet, and the sender of its commands. The loop ends once the sender is dropped.
+pub fn new(shared: &Arc<Shared>, events: Sender<Event>) -> std::io::Result<(HostLoop, CommandSender)> {
     let poll = Poll::new()?;
     let waker = Waker::new(poll.registry(), WAKE)?;
-    let (to, orders) = crossbeam_channel::unbounded();
+    let (sender, commands) = crossbeam_channel::unbounded();
     let scratch = vec![0; shared.limits.read_bytes];
     let (connections, timers) = Default::default();
-    let hosts = Hosts { shared: shared.clone(), events, poll, orders, connections, timers, scratch };
-    Ok((hosts, CommandSender { to, waker, waiting: Cell::new(false) }))
+    let host_loop = HostLoop { shared: shared.clone(), events, poll, commands, connections, timers, scratch };
+    Ok((host_loop, CommandSender { sender, waker, needs_wake: Cell::new(false) }))
 }
 
-impl Hosts {
+impl HostLoop {
     pub fn run(mut self) {
         let mut events = Events::with_capacity(self.shared.limits.events);
         loop {
             self.shared.pause_to_batch();
             let wait = self.timers.next_due().map(|due| self.shared.clock.until(due));
-            // The decision thread's end wakes nobody.
+            // The end of the decision thread doesn't wake the loop, so it never sleeps longer than this.
             let wait = wait.unwrap_or(self.shared.limits.idle_check).min(self.shared.limits.idle_check);
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(e) if e.kind() != std::io::ErrorKind::Interrupted => {
-                    tracing::error!(error = %e, "hosts can't be watched");
+                    tracing::error!(error = %e, "cannot poll host connections");
                     std::thread::sleep(self.shared.limits.accept_check);
                 }
                 _ => {}
             }
             for event in events.iter().filter(|event| event.token() != WAKE) {
-                let no = event.token().0 as u64;
-                let Some(connection) = self.connections.get_mut(&no) else { continue };
+                let conn_id = event.token().0 as u64;
+                let Some(connection) = self.connections.get_mut(&conn_id) else { continue };
                 let writable = event.is_writable() || event.is_error();
-                let ended = event.is_read_closed() || event.is_error();
-                let step = connection.news(writable, ended, &mut self.scratch);
-                self.after(no, step);
+                let read_closed = event.is_read_closed() || event.is_error();
+                let step = connection.on_ready(writable, read_closed, &mut self.scratch);
+                self.handle_step(conn_id, step);
             }
             loop {
-                match self.orders.try_recv() {
-                    Ok(order) => self.obey(order),
+                match self.commands.try_recv() {
+                    Ok(command) => self.execute(command),
                     Err(TryRecvError::Empty) => break,
                     Err(TryRecvError::Disconnected) => return,
                 }
             }
-            while let Some(no) = self.timers.pop_due(self.shared.clock.now()) {
-                if let Some(connection) = self.connections.get_mut(&no) {
-                    let step = connection.overdue();
-                    self.after(no, step);
+            while let Some(conn_id) = self.timers.pop_due(self.shared.clock.now()) {
+                if let Some(connection) = self.connections.get_mut(&conn_id) {
+                    let step = connection.on_timeout();
+                    self.handle_step(conn_id, step);
                 }
             }
         }
     }
 
-    fn obey(&mut self, order: Command) {
-        match order {
-            Command::Open { no, addr, line, job } => match Connection::dial(&self.shared, addr, line, job) {
-                Ok(connection) => {
-                    let fd = connection.stream.as_raw_fd();
-                    let both = Interest::READABLE | Interest::WRITABLE;
-                    let watched = self.poll.registry().register(&mut SourceFd(&fd), Token(no as usize), both);
-                    if watched.is_err() {
-                        let result = Box::new(ended(magpiewell::Ending::Unsent));
-                        return drop(self.events.send(Event::JobFinished { conn: no, result }));
+    fn execute(&mut self, command: Command) {
+        match command {
+            Command::Open { conn_id, addr, progress, job } => {
+                match Connection::connect(&self.shared, addr, progress, job) {
+                    Ok(connection) => {
+                        let fd = connection.stream.as_raw_fd();
+                        let both = Interest::READABLE | Interest::WRITABLE;
+                        let registered =
+                            self.poll.registry().register(&mut SourceFd(&fd), Token(conn_id as usize), both);
+                        if registered.is_err() {
+                            let result = Box::new(without_answer(magpiewell::Ending::Unsent));
+                            return drop(self.events.send(Event::JobFinished { conn_id, result }));
+                        }
+                        self.connections.insert(conn_id, connection);
+                        self.handle_step(conn_id, Step::Wait);
+                    }
+                    Err(ending) => {
+                        let result = Box::new(without_answer(ending));
+                        drop(self.events.send(Event::JobFinished { conn_id, result }));
                     }
-                    self.connections.insert(no, connection);
-                    self.after(no, Step::Wait);
-                }
-                Err(ending) => {
-                    let result = Box::new(ended(ending));
-                    drop(self.events.send(Event::JobFinished { conn: no, result }));
                 }
-            },
-            Command::Carry { no, job } => {
-                if let Some(connection) = self.connections.get_mut(&no) {
-                    let step = connection.take(job);
-                    self.after(no, step);
+            }
+            Command::Run { conn_id, job } => {
+                if let Some(connection) = self.connections.get_mut(&conn_id) {
+                    let step = connection.start(job);
+                    self.handle_step(conn_id, step);
                 }
             }
-            Command::Close { no } => {
-                self.connections.remove(&no);
-                self.timers.set(no, None);
+            Command::Close { conn_id } => {
+                self.connections.remove(&conn_id);
+                self.timers.set(conn_id, None);
             }
         }
     }
 
-    fn after(&mut self, no: u64, step: Step) {
-        let stays = match &step {
+    fn handle_step(&mut self, conn_id: u64, step: Step) {
+        let keep = match &step {
             Step::Wait => true,
-            Step::Over(result) => result.open,
+            Step::Done(result) => result.is_reusable,
             Step::Closed => false,
         };
-        if stays {
-            self.timers.set(no, self.connections.get(&no).map(Connection::due));
+        if keep {
+            self.timers.set(conn_id, self.connections.get(&conn_id).map(Connection::due));
         } else {
-            tracing::debug!(conn = no, "given up");
-            self.connections.remove(&no);
-            self.timers.set(no, None);
+            tracing::debug!(conn = conn_id, "given up");
+            self.connections.remove(&conn_id);
+            self.timers.set(conn_id, None);
         }
         match step {
             Step::Wait => {}
-            Step::Over(result) => {
-                tracing::debug!(conn = no, ending = ?result.ending, open = result.open, "job over");
-                drop(self.events.send(Event::JobFinished { conn: no, result }));
+            Step::Done(result) => {
+                tracing::debug!(conn = conn_id, ending = ?result.ending, open = result.is_reusable, "job finished");
+                drop(self.events.send(Event::JobFinished { conn_id, result }));
             }
             Step::Closed => {
-                drop(self.events.send(Event::IdleConnectionClosed { conn: no }));
+                drop(self.events.send(Event::IdleConnectionClosed { conn_id }));
             }
         }
     }
--- a/crates/router/src/observer/tests.rs
+++ b/crates/router/src/observer/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn only_changes_are_reported_and_a_lag_that_lasts_once_a_second() {
+fn changes_are_reported_once_and_a_lasting_lag_every_second() {
     let mut observer = Observer::new(Some(400.0));
     let mut record = |now, index, role, lag: f64| {
         observer.record_answer(now, host(index), GROUP, Some(role), Some(now - lag))
@@ -23,13 +23,13 @@
     assert_eq!(record(500.0, 2, replica, 600.0), None);
     assert_eq!(record(1_100.0, 2, replica, 900.0), lag(900));
     assert_eq!(record(1_200.0, 2, replica, 10.0), lag(10));
-    // Another host becomes the primary, and then the first one again.
+    // Another host becomes the primary, then the first one again.
     assert_eq!(record(1_300.0, 2, primary, 0.0), Some(Observation::Primary { group: 7, host: 12 }));
     assert_eq!(record(1_400.0, 1, primary, 0.0), Some(host_1_is_primary));
 }
 
 #[test]
-fn a_primary_that_became_a_replica_or_was_forgotten_is_reported_when_it_returns() {
+fn a_primary_that_became_a_replica_or_was_removed_is_reported_when_it_returns() {
     let mut observer = Observer::new(None);
     let record = |observer: &mut Observer, role| {
         observer.record_answer(0.0, host(1), GROUP, Some(role), Some(0.0)).is_some()
@@ -37,7 +37,7 @@
     assert!(record(&mut observer, Role::Primary));
     assert!(!record(&mut observer, Role::Replica));
     assert!(record(&mut observer, Role::Primary));
-    observer.forget(1);
+    observer.remove_host(1);
     assert!(record(&mut observer, Role::Primary));
 }
 
@@ -48,6 +48,6 @@
 }
 
 #[test]
-fn names_have_the_published_hash() {
+fn host_keys_match_the_published_hash() {
     assert_eq!((host_key(""), host_key("a"), host_key("foobar")), (0x811c_9dc5, 0xe40c_292c, 0xbf9c_f968));
 }
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -1,15 +1,15 @@
-//! The pool's books: hosts as the list names them, connections, and what each is doing.
+//! The connection pool: the hosts that the list names, the connections to them, and the task of each connection.
 
 use crate::host_loop::{Command, CommandSender};
 use crate::observer;
-use crate::send::{CallBack, CalledBack, Job, Line};
+use crate::send::{CancelOutcome, CancelScope, Job, JobProgress};
 use crate::shared::Shared;
 use magpiewell::OpId;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a connection is out for.
+/// What a connection is in use for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Task {
     Send {
@@ -17,58 +17,71 @@
         send: usize,
     },
     Probe {
-        since: f64,
+        started_at: f64,
     },
-    /// Called back before anything was written; the connection is still being opened.
-    Nothing,
+    /// Cancelled before anything was written; the connection is still being opened.
+    Cancelled,
 }
 
-struct Slot {
-    /// As the list names the host; none while the number is free.
+/// A host; the slot's index is the host's index within this router.
+struct HostSlot {
+    /// The host's id in the list; `None` while the slot is free.
     id: Option<String>,
-    /// The host's name among peers.
+    /// The host's key in facts shared with peers.
     key: u32,
     addr: SocketAddr,
-    /// Idle connections, the newest last.
+    /// Ids of idle connections, the newest last.
     idle: Vec<u64>,
 }
 
-struct Conn {
+struct PooledConnection {
     host: usize,
     addr: SocketAddr,
-    line: Arc<Line>,
+    progress: Arc<JobProgress>,
     task: Option<Task>,
     idle_since: f64,
 }
 
 pub struct Pool {
     shared: Arc<Shared>,
-    index: HashMap<String, usize>,
-    /// Hosts by their names among peers.
-    keys: HashMap<u32, usize>,
-    slots: Vec<Slot>,
+    hosts_by_id: HashMap<String, usize>,
+    /// Hosts by their keys in facts.
+    hosts_by_key: HashMap<u32, usize>,
+    slots: Vec<HostSlot>,
+    /// Group indices by the groups' keys in the list.
     groups: HashMap<u64, usize>,
-    conns: HashMap<u64, Conn>,
-    orders: CommandSender,
-    next: u64,
+    connections: HashMap<u64, PooledConnection>,
+    commands: CommandSender,
+    next_conn_id: u64,
     /// Connections opened since the start.
-    pub dials: u64,
+    pub opened: u64,
 }
 
 impl Pool {
-    pub fn new(shared: Arc<Shared>, orders: CommandSender) -> Pool {
-        let (index, keys, slots, groups) = Default::default();
-        Pool { shared, index, keys, slots, groups, conns: HashMap::new(), orders, next: 0, dials: 0 }
+    pub fn new(shared: Arc<Shared>, commands: CommandSender) -> Pool {
+        let (hosts_by_id, hosts_by_key, slots, groups) = Default::default();
+        Pool {
+            shared,
+            hosts_by_id,
+            hosts_by_key,
+            slots,
+            groups,
+            connections: HashMap::new(),
+            commands,
+            next_conn_id: 0,
+            opened: 0,
+        }
     }
 
-    /// Has the hosts' loop look at the orders given since the last time.
-    pub fn wake_hosts(&self) {
-        self.orders.wake();
+    /// Wakes the host loop if commands have been sent to it since the last wake.
+    pub fn wake_host_loop(&self) {
+        self.commands.wake();
     }
 
-    /// A host's small number; its idle connections to an address it has left are closed.
-    pub fn host(&mut self, id: &str, addr: SocketAddr) -> usize {
-        if let Some(host) = self.index.get(id).copied() {
+    /// Adds a host or updates its address, and returns its index. Idle connections to a previous address are
+    /// closed.
+    pub fn upsert_host(&mut self, id: &str, addr: SocketAddr) -> usize {
+        if let Some(host) = self.hosts_by_id.get(id).copied() {
             if self.slots[host].addr != addr {
                 self.slots[host].addr = addr;
                 self.close_idle(host);
@@ -76,154 +89,165 @@
             return host;
         }
         let key = observer::host_key(id);
-        let slot = Slot { id: Some(id.to_string()), key, addr, idle: Vec::new() };
+        let slot = HostSlot { id: Some(id.to_string()), key, addr, idle: Vec::new() };
         let host = self.slots.iter().position(|p| p.id.is_none()).unwrap_or(self.slots.len());
         match self.slots.get_mut(host) {
             Some(free) => *free = slot,
             None => self.slots.push(slot),
         }
-        self.index.insert(id.to_string(), host);
-        self.keys.insert(key, host);
+        self.hosts_by_id.insert(id.to_string(), host);
+        self.hosts_by_key.insert(key, host);
         host
     }
 
-    /// A host's name among peers, and whom a name means.
-    pub fn key(&self, host: usize) -> u32 {
+    /// The host's key in facts.
+    pub fn host_key(&self, host: usize) -> u32 {
         self.slots[host].key
     }
 
-    pub fn keyed(&self, key: u32) -> Option<usize> {
-        self.keys.get(&key).copied()
+    /// The host with this key in facts.
+    pub fn host_by_key(&self, key: u32) -> Option<usize> {
+        self.hosts_by_key.get(&key).copied()
     }
 
-    /// Hosts that the list has named and that are not gone for good.
-    pub fn hosts(&self) -> usize {
-        self.index.len()
+    /// The number of hosts that the list has named and that have not been removed.
+    pub fn host_count(&self) -> usize {
+        self.hosts_by_id.len()
     }
 
-    /// Lets go of hosts that are gone for good: their connections, names and numbers. Hosts that come and go for
-    /// ever would else fill the memory.
-    pub fn tidy(&mut self, mut is_over: impl FnMut(usize) -> bool) {
-        // Looked at once, not for each host: with thousands of both that took more than all else.
-        let out = self.conns.values().filter(|conn| conn.task.is_some());
-        let busy: HashSet<usize> = out.map(|conn| conn.host).collect();
+    /// Removes the hosts for which `is_gone` holds, with their connections, and frees their indices. Otherwise a
+    /// deployment that keeps replacing its hosts would fill the memory.
+    pub fn remove_gone_hosts(&mut self, mut is_gone: impl FnMut(usize) -> bool) {
+        // Collected once instead of per host: with thousands of hosts and connections the repeated scan took more
+        // time than everything else.
+        let in_use = self.connections.values().filter(|connection| connection.task.is_some());
+        let busy: HashSet<usize> = in_use.map(|connection| connection.host).collect();
         for host in 0..self.slots.len() {
-            if self.slots[host].id.is_some() && !busy.contains(&host) && is_over(host) {
+            if self.slots[host].id.is_some() && !busy.contains(&host) && is_gone(host) {
                 self.close_idle(host);
-                let id = self.slots[host].id.take().expect("just seen");
-                self.index.remove(&id);
-                self.keys.remove(&self.slots[host].key);
+                let id = self.slots[host].id.take().expect("checked above");
+                self.hosts_by_id.remove(&id);
+                self.hosts_by_key.remove(&self.slots[host].key);
             }
         }
     }
 
-    /// A group's small number, as the list names it.
-    pub fn group(&mut self, cluster: u64) -> usize {
+    /// The index of the group with this key in the list; assigned at the first call.
+    pub fn upsert_group(&mut self, cluster: u64) -> usize {
         let next = self.groups.len();
         *self.groups.entry(cluster).or_insert(next)
     }
 
-    pub fn known_group(&self, cluster: u64) -> Option<usize> {
+    /// The index of a group that the list has named.
+    pub fn group(&self, cluster: u64) -> Option<usize> {
         self.groups.get(&cluster).copied()
     }
 
-    pub fn connections(&self) -> usize {
-        self.conns.len()
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
-    /// The newest idle connection that has rested, else the oldest.
-    fn idle(&mut self, host: usize) -> Option<u64> {
-        let rested = self.shared.clock.now() - self.shared.limits.rest_ms;
+    /// Takes the newest connection that has been idle for `rest_ms`, else the oldest one.
+    fn take_idle(&mut self, host: usize) -> Option<u64> {
+        let rested_since = self.shared.clock.now() - self.shared.limits.rest_ms;
         let idle = &mut self.slots[host].idle;
-        let since = |no: &u64| self.conns.get(no).map_or(0.0, |conn| conn.idle_since);
-        let at = idle.iter().rposition(|no| since(no) <= rested).unwrap_or(0);
+        let idle_since = |id: &u64| self.connections.get(id).map_or(0.0, |connection| connection.idle_since);
+        let at = idle.iter().rposition(|id| idle_since(id) <= rested_since).unwrap_or(0);
         (at < idle.len()).then(|| idle.remove(at))
     }
 
-    /// Gives a job to an idle connection, else to a new one. None where none is to be had.
-    pub fn start(&mut self, host: usize, task: Task, job: Job) -> Option<u64> {
-        if let Some(no) = self.idle(host) {
-            let conn = self.conns.get_mut(&no)?;
-            conn.line.begin();
-            conn.task = Some(task);
-            // Where it has just ended, the loop has told so, and the task is started anew when that is taken.
-            self.orders.give(Command::Carry { no, job });
-            return Some(no);
+    /// Starts a job on an idle connection, else on a new one, and returns the connection's id. `None` where all
+    /// connections that may be open are in use.
+    pub fn start_job(&mut self, host: usize, task: Task, job: Job) -> Option<u64> {
+        if let Some(conn_id) = self.take_idle(host) {
+            let connection = self.connections.get_mut(&conn_id)?;
+            connection.progress.reset();
+            connection.task = Some(task);
+            // If the connection has just ended, the host loop has reported it; the task is started again when that
+            // event is handled.
+            self.commands.send(Command::Run { conn_id, job });
+            return Some(conn_id);
         }
-        if self.conns.len() >= self.shared.limits.host_connections && !self.close_idlest() {
+        if self.connections.len() >= self.shared.limits.host_connections && !self.close_longest_idle() {
             return None;
         }
-        let no = self.next;
-        self.next += 1;
-        let (line, addr) = (Arc::new(Line::default()), self.slots[host].addr);
-        self.orders.give(Command::Open { no, addr, line: line.clone(), job });
-        self.dials += 1;
-        self.conns.insert(no, Conn { host, addr, line, task: Some(task), idle_since: 0.0 });
-        Some(no)
-    }
-
-    /// A connection's job is over; it becomes idle or is forgotten.
-    pub fn finish(&mut self, no: u64, open: bool) -> Option<(usize, Task)> {
-        let conn = self.conns.get_mut(&no)?;
-        let (host, task) = (conn.host, conn.task.take()?);
-        if open && conn.addr == self.slots[host].addr {
-            conn.idle_since = self.shared.clock.now();
-            self.slots[host].idle.push(no);
-        } else if open {
-            self.let_go(no);
+        let conn_id = self.next_conn_id;
+        self.next_conn_id += 1;
+        let (progress, addr) = (Arc::new(JobProgress::default()), self.slots[host].addr);
+        self.commands.send(Command::Open { conn_id, addr, progress: progress.clone(), job });
+        self.opened += 1;
+        self.connections
+            .insert(conn_id, PooledConnection { host, addr, progress, task: Some(task), idle_since: 0.0 });
+        Some(conn_id)
+    }
+
+    /// Ends a connection's task, and returns it with its host. A reusable connection becomes idle unless the host's
+    /// address has changed; any other is removed.
+    pub fn finish_job(&mut self, conn_id: u64, is_reusable: bool) -> Option<(usize, Task)> {
+        let connection = self.connections.get_mut(&conn_id)?;
+        let (host, task) = (connection.host, connection.task.take()?);
+        if is_reusable && connection.addr == self.slots[host].addr {
+            connection.idle_since = self.shared.clock.now();
+            self.slots[host].idle.push(conn_id);
+        } else if is_reusable {
+            self.close(conn_id);
         } else {
-            self.conns.remove(&no);
+            self.connections.remove(&conn_id);
         }
         Some((host, task))
     }
 
-    /// A connection has ended by itself; what it was to do was never written.
-    pub fn closed(&mut self, no: u64) -> Option<(usize, Task)> {
-        let conn = self.conns.remove(&no)?;
-        self.slots[conn.host].idle.retain(|other| *other != no);
-        conn.task.map(|task| (conn.host, task))
+    /// Removes a connection that ended by itself. Returns its host and task, if it had one: nothing of that was
+    /// written.
+    pub fn remove(&mut self, conn_id: u64) -> Option<(usize, Task)> {
+        let connection = self.connections.remove(&conn_id)?;
+        self.slots[connection.host].idle.retain(|other| *other != conn_id);
+        connection.task.map(|task| (connection.host, task))
     }
 
-    /// Calls a job back; true where nothing of it was or will be written.
-    pub fn call_back(&mut self, no: u64, which: CallBack) -> bool {
-        let Some(conn) = self.conns.get_mut(&no) else { return false };
-        let unwritten = conn.line.call_back(which) == CalledBack::Unwritten;
-        if unwritten {
-            conn.task = Some(Task::Nothing);
+    /// Cancels a connection's job; true where nothing of it was or will be written.
+    pub fn cancel_job(&mut self, conn_id: u64, scope: CancelScope) -> bool {
+        let Some(connection) = self.connections.get_mut(&conn_id) else { return false };
+        let is_unwritten = connection.progress.cancel(scope) == CancelOutcome::NeverWritten;
+        if is_unwritten {
+            connection.task = Some(Task::Cancelled);
         }
-        unwritten
+        is_unwritten
     }
 
-    /// Calls back what was to be sent to a host and has not been begun; tells which sends those were.
-    pub fn call_off(&mut self, host: usize) -> Vec<(OpId, usize)> {
-        let out = |(no, conn): (&u64, &Conn)| match conn.task {
-            Some(Task::Send { op, send }) if conn.host == host => Some((op, send, *no)),
+    /// Cancels all sends to a host of which nothing has been written, and returns them.
+    pub fn cancel_unwritten_sends(&mut self, host: usize) -> Vec<(OpId, usize)> {
+        let send_to_host = |(id, connection): (&u64, &PooledConnection)| match connection.task {
+            Some(Task::Send { op, send }) if connection.host == host => Some((op, send, *id)),
             _ => None,
         };
-        let mut sends: Vec<_> = self.conns.iter().filter_map(out).collect();
+        let mut sends: Vec<_> = self.connections.iter().filter_map(send_to_host).collect();
         sends.sort_unstable();
-        sends.retain(|(_, _, no)| self.call_back(*no, CallBack::Waiting));
+        sends.retain(|(_, _, id)| self.cancel_job(*id, CancelScope::Unwritten));
         sends.into_iter().map(|(op, send, _)| (op, send)).collect()
     }
 
     pub fn close_idle(&mut self, host: usize) {
-        for no in std::mem::take(&mut self.slots[host].idle) {
-            self.let_go(no);
+        for conn_id in std::mem::take(&mut self.slots[host].idle) {
+            self.close(conn_id);
         }
     }
 
-    fn let_go(&mut self, no: u64) {
-        self.conns.remove(&no);
-        self.orders.give(Command::Close { no });
+    fn close(&mut self, conn_id: u64) {
+        self.connections.remove(&conn_id);
+        self.commands.send(Command::Close { conn_id });
     }
 
     /// Closes the connection that has been idle longest; false where all are in use.
-    fn close_idlest(&mut self) -> bool {
-        let since = |no: &u64| self.conns.get(no).map_or(f64::INFINITY, |conn| conn.idle_since);
+    fn close_longest_idle(&mut self) -> bool {
+        let idle_since =
+            |id: &u64| self.connections.get(id).map_or(f64::INFINITY, |connection| connection.idle_since);
         let oldest = self.slots.iter().filter_map(|slot| slot.idle.first().copied());
-        let Some(no) = oldest.min_by(|a, b| since(a).total_cmp(&since(b))) else { return false };
-        self.closed(no);
-        self.orders.give(Command::Close { no });
+        let Some(conn_id) = oldest.min_by(|a, b| idle_since(a).total_cmp(&idle_since(b))) else {
+            return false;
+        };
+        self.remove(conn_id);
+        self.commands.send(Command::Close { conn_id });
         true
     }
 }
--- a/crates/router/src/probe.rs
+++ b/crates/router/src/probe.rs
@@ -1,42 +1,43 @@
-//! What hosts tell of themselves: the report, and what stands beside answers.
+//! What a host reports of itself: the parameters beside its answers, and its usage report.
 
 use magpiewell::Role;
 
-/// The statement of a probe, and the name of its report beside answers.
-pub const ASK: &[u8] = b"SHOW usage";
+/// The statement of a probe. Its second word is also the name of the parameter that carries the report.
+pub const USAGE_QUERY: &[u8] = b"SHOW usage";
 
-/// What an answer told; positions are Unix ms.
+/// A host's role and position as one answer reported them; positions are Unix ms.
 #[derive(Default)]
-pub struct Told {
+pub struct HostStatus {
     pub role: Option<Role>,
-    pub pos: Option<f64>,
+    pub position: Option<f64>,
+    /// Role and position from the usage report, which may be some time old.
     pub report_role: Option<Role>,
-    pub report_pos: Option<f64>,
+    pub report_position: Option<f64>,
 }
 
-impl Told {
-    /// A parameter that stands beside an answer.
-    pub fn parameter(&mut self, name: &[u8], value: &[u8]) {
+impl HostStatus {
+    /// Reads a parameter that was sent beside an answer.
+    pub fn read_parameter(&mut self, name: &[u8], value: &[u8]) {
         let Ok(value) = std::str::from_utf8(value) else { return };
-        // What can't be read is passed over, and does not undo what could.
+        // An unreadable value is ignored and doesn't discard one read before.
         match (name, value) {
             (b"server_role", "writer") => self.role = Some(Role::Primary),
             (b"server_role", "reader") => self.role = Some(Role::Replica),
             (b"commit_clock", _) => {
-                self.pos = value.trim().parse().ok().filter(|ms: &f64| ms.is_finite()).or(self.pos);
+                self.position = value.trim().parse().ok().filter(|ms: &f64| ms.is_finite()).or(self.position);
             }
-            (b"usage", _) => self.report(value),
+            (b"usage", _) => self.read_report(value),
             _ => {}
         }
     }
 
-    /// A report, `name=value` between commas: the position is in seconds there.
-    pub fn report(&mut self, text: &str) {
+    /// Reads a usage report, a comma-separated list of `name=value`; its position is in seconds.
+    pub fn read_report(&mut self, text: &str) {
         for (name, value) in text.split(',').filter_map(|part| part.split_once('=')) {
             let Some(value) = value.trim().parse().ok().filter(|v: &f64| v.is_finite()) else { continue };
             match name.trim() {
-                // The next lower value is surely no later than what the host meant.
-                "x0" => self.report_pos = Some((value.next_down() * 1000.0).next_down()),
+                // Rounded down to the next lower value, so that the position is never later than the host's own.
+                "x0" => self.report_position = Some((value.next_down() * 1000.0).next_down()),
                 "x1" if value >= 0.5 => self.report_role = Some(Role::Primary),
                 "x1" => self.report_role = Some(Role::Replica),
                 _ => {}
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -1,6 +1,7 @@
-//! Routes ops: the one thread that owns the policy, the ops and the pool's books. It takes events until its
-//! next wake and never waits for a socket; it alone settles which answer is final.
-use crate::answer::Result;
+//! The decision thread: owns the policy, the open ops and the connection pool. It handles events until its next
+//! tick, never blocks on a socket, and is the only thread that decides which answer to an op is final.
+
+use crate::answer::JobResult;
 use crate::client::Client;
 use crate::event::{Event, Statement};
 use crate::host_loop::CommandSender;
@@ -8,8 +9,8 @@
 use crate::observer::{GroupId, HostId, Observer};
 use crate::op_facts::OpFacts;
 use crate::pool::{Pool, Task};
-use crate::probe::Told;
-use crate::send::{CallBack, Job, Work};
+use crate::probe::HostStatus;
+use crate::send::{CancelScope, Job, Work};
 use crate::shared::Shared;
 use crate::tier::ObservationSender;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
@@ -23,94 +24,98 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Relaxed, Release};
 
-/// One op, from its arrival until its last send has ended.
+/// An op, from its arrival until it is answered and its last send has ended.
 struct Op {
-    /// The id that its client gave it.
-    name: u64,
+    /// The id that its client gave it, as a number.
+    client_op_id: u64,
     client: Arc<Client>,
     seq: u64,
     statement: Arc<Statement>,
-    until: f64,
-    answered: bool,
+    /// When the client stops waiting, or the router has to have stopped, on the router's clock.
+    deadline: f64,
+    is_answered: bool,
     sends: Vec<Send>,
 }
 
 struct Send {
-    /// Its connection, while it is out.
-    conn: Option<u64>,
+    /// Its connection, while it is in flight.
+    conn_id: Option<u64>,
     begin_by: f64,
 }
 
+/// Totals since the start.
 #[derive(Default)]
 struct Counts {
-    taken: u64,
+    received: u64,
     acked: u64,
     busy: u64,
     errored: u64,
-    left: u64,
+    /// Ops whose client disconnected before they were answered.
+    abandoned: u64,
     probes: u64,
 }
 
-/// All that the policy's actions act on.
+/// Carries out the policy's actions, and holds the state they act on.
 struct RouterOutbox {
     shared: Arc<Shared>,
     pool: Pool,
     ops: HashMap<OpId, Op>,
-    /// Clients' ids of the ops that are not answered yet.
-    open: HashSet<u64>,
-    /// Sends that ended here, not yet told to the policy.
-    ended: VecDeque<(OpId, usize, Ending)>,
-    /// Probes that ended here.
-    unasked: VecDeque<usize>,
+    /// The clients' ids of the ops that are not answered yet.
+    open_op_ids: HashSet<u64>,
+    /// Sends that ended within the router, not yet reported to the policy.
+    ended_sends: VecDeque<(OpId, usize, Ending)>,
+    /// Hosts whose probe could not be sent, not yet reported to the policy.
+    unsent_probes: VecDeque<usize>,
     wake_at: f64,
-    ask_list: Sender<()>,
+    list_requests: Sender<()>,
     counts: Counts,
-    /// Hosts that contact was lost with, not told to peers yet.
-    lost: Vec<usize>,
+    /// Hosts that contact was lost with, not yet reported to peers.
+    unresponsive_hosts: Vec<usize>,
 }
 
 impl RouterOutbox {
-    /// When the policy is next told the time: as it asked, and less often while no op is open, as nothing waits.
-    fn next_beat(&self) -> f64 {
+    /// The time of the next tick: as the policy asked, and later while no op is open, as nothing is waiting then.
+    fn next_tick_at(&self) -> f64 {
         self.wake_at + if self.ops.is_empty() { self.shared.limits.idle_beat_ms } else { 0.0 }
     }
 
-    fn send_on(&mut self, op: OpId, send: usize, host: usize) {
+    fn start_send(&mut self, op: OpId, send: usize, host: usize) {
         let Some(o) = self.ops.get_mut(&op) else { return };
         let (work, begin_by) = (Work::Op(o.statement.clone()), o.sends[send].begin_by);
-        let conn = self.pool.start(host, Task::Send { op, send }, Job { work, until: o.until, begin_by });
-        o.sends[send].conn = conn;
-        if conn.is_none() {
-            self.ended.push_back((op, send, Ending::Unsent));
+        let conn_id =
+            self.pool.start_job(host, Task::Send { op, send }, Job { work, deadline: o.deadline, begin_by });
+        o.sends[send].conn_id = conn_id;
+        if conn_id.is_none() {
+            self.ended_sends.push_back((op, send, Ending::Unsent));
         }
     }
 
-    fn probe_on(&mut self, host: usize, since: f64) {
-        let until = since + self.shared.limits.probe_ms;
-        // One that has not begun by then tells that the host takes no connections: no rule forbids it to begin.
-        let job = Job { work: Work::Probe, until, begin_by: f64::INFINITY };
-        if self.pool.start(host, Task::Probe { since }, job).is_none() {
-            self.unasked.push_back(host);
+    fn start_probe(&mut self, host: usize, started_at: f64) {
+        let deadline = started_at + self.shared.limits.probe_ms;
+        // No `begin_by`: a probe that could not be written by its deadline shows that the host accepts no connections.
+        let job = Job { work: Work::Probe, deadline, begin_by: f64::INFINITY };
+        if self.pool.start_job(host, Task::Probe { started_at }, job).is_none() {
+            self.unsent_probes.push_back(host);
         }
     }
 
-    /// The final answer; false where there has been one.
-    fn answer(&mut self, op: OpId, fill: impl FnOnce(&mut Vec<u8>)) -> bool {
-        let Some(o) = self.ops.get_mut(&op).filter(|o| !o.answered) else { return false };
-        o.answered = true;
-        self.open.remove(&o.name);
+    /// Sends the final answer to the client; false where the op has been answered before.
+    fn answer(&mut self, op: OpId, write: impl FnOnce(&mut Vec<u8>)) -> bool {
+        let Some(o) = self.ops.get_mut(&op).filter(|o| !o.is_answered) else { return false };
+        o.is_answered = true;
+        self.open_op_ids.remove(&o.client_op_id);
         let mut bytes = Vec::new();
-        fill(&mut bytes);
+        write(&mut bytes);
         bytes.extend_from_slice(&encode::READY_FOR_QUERY);
         let held = self.shared.reserve(bytes.len());
         o.client.answer(o.seq, bytes, held);
-        // Ops given up on a beat end here: kept, each would hold its client for ever.
-        self.drop_if_over(op);
+        // Ops given up on a tick end here: each one kept would hold its client's connection open for ever.
+        self.remove_if_finished(op);
         true
     }
 
-    fn drop_if_over(&mut self, op: OpId) {
-        if self.ops.get(&op).is_some_and(|o| o.answered && o.sends.iter().all(|s| s.conn.is_none())) {
+    fn remove_if_finished(&mut self, op: OpId) {
+        if self.ops.get(&op).is_some_and(|o| o.is_answered && o.sends.iter().all(|s| s.conn_id.is_none())) {
             self.ops.remove(&op);
         }
     }
@@ -119,27 +124,27 @@
 impl Outbox for RouterOutbox {
     fn send(&mut self, op: OpId, host: usize, begin_by: f64) {
         let Some(o) = self.ops.get_mut(&op) else { return };
-        o.sends.push(Send { conn: None, begin_by });
+        o.sends.push(Send { conn_id: None, begin_by });
         let send = o.sends.len() - 1;
         self.shared.simulate_send_work();
-        self.send_on(op, send, host);
+        self.start_send(op, send, host);
     }
 
     fn withdraw(&mut self, op: OpId, send: usize, cut: bool) {
         let Some(o) = self.ops.get_mut(&op) else { return };
-        let Some(conn) = o.sends.get(send).and_then(|s| s.conn) else { return };
-        if self.pool.call_back(conn, if cut { CallBack::All } else { CallBack::Unfinished }) {
-            o.sends[send].conn = None;
-            self.ended.push_back((op, send, Ending::Withdrawn));
+        let Some(conn_id) = o.sends.get(send).and_then(|s| s.conn_id) else { return };
+        if self.pool.cancel_job(conn_id, if cut { CancelScope::All } else { CancelScope::Incomplete }) {
+            o.sends[send].conn_id = None;
+            self.ended_sends.push_back((op, send, Ending::Withdrawn));
         }
     }
 
     fn cancel_unstarted(&mut self, host: usize) {
-        for (op, send) in self.pool.call_off(host) {
+        for (op, send) in self.pool.cancel_unwritten_sends(host) {
             if let Some(o) = self.ops.get_mut(&op) {
-                o.sends[send].conn = None;
+                o.sends[send].conn_id = None;
             }
-            self.ended.push_back((op, send, Ending::Unsent));
+            self.ended_sends.push_back((op, send, Ending::Unsent));
         }
     }
 
@@ -148,22 +153,22 @@
         if let Some(o) = self.ops.get(&op) {
             o.client.retry_at.store((self.shared.clock.now() + retry_ms) as u64, Relaxed);
         }
-        let said =
-            self.answer(op, |to| encode::error_response(to, false, "53300", "busy, try again", &detail));
-        self.counts.busy += u64::from(said);
-        self.shared.refused.fetch_add(usize::from(said), Relaxed);
+        let is_sent = self
+            .answer(op, |reply| encode::error_response(reply, false, "53300", "busy, try again", &detail));
+        self.counts.busy += u64::from(is_sent);
+        self.shared.refused.fetch_add(usize::from(is_sent), Relaxed);
     }
 
     fn error_reply(&mut self, op: OpId) {
-        let said =
-            self.answer(op, |to| encode::error_response(to, false, "58000", "no host has answered", ""));
-        self.counts.errored += u64::from(said);
+        let is_sent = self
+            .answer(op, |reply| encode::error_response(reply, false, "58000", "no host has answered", ""));
+        self.counts.errored += u64::from(is_sent);
     }
 
     fn probe(&mut self, host: usize) {
         self.counts.probes += 1;
         let now = self.shared.clock.now();
-        self.probe_on(host, now);
+        self.start_probe(host, now);
     }
 
     fn close_idle_connections(&mut self, host: usize) {
@@ -171,7 +176,7 @@
     }
 
     fn watch_host_list(&mut self) {
-        let _ = self.ask_list.try_send(());
+        let _ = self.list_requests.try_send(());
     }
 
     fn wake_after(&mut self, in_ms: f64) {
@@ -183,27 +188,31 @@
     }
 
     fn contact_lost(&mut self, host: usize) {
-        self.lost.push(host);
+        self.unresponsive_hosts.push(host);
     }
 }
 
+/// The state of the decision thread.
 pub struct Router {
     policy: Policy,
     outbox: RouterOutbox,
-    carried: bool,
+    /// Whether ops state when their session last wrote; otherwise the policy remembers writes itself.
+    ops_carry_last_write: bool,
+    /// Op timeouts by op type.
     timeouts_ms: Vec<f64>,
-    /// The names of zones, by number.
+    /// The names of zones, by index.
     zones: Vec<String>,
     observer: Observer,
-    /// Takes what this router has observed for its peers; none where it has no peers.
+    /// Receives observations to share with peers; `None` where the router has no peers.
     observations: Option<ObservationSender>,
-    /// Each host's group, as listed.
+    /// Each host's group according to the list.
     groups: HashMap<usize, GroupId>,
     /// Whether the list last named more hosts than connections may be open.
     has_too_many_hosts: bool,
-    next_op: OpId,
+    /// The id of the op that arrived last.
+    last_op: OpId,
     figures_at: f64,
-    tidy_at: f64,
+    cleanup_at: f64,
 }
 
 impl Router {
@@ -212,74 +221,77 @@
         terms: PolicyOptions,
         fields: &AdapterOptions,
         seed: u64,
-        ask_list: Sender<()>,
-        orders: CommandSender,
+        list_requests: Sender<()>,
+        commands: CommandSender,
         observations: Option<ObservationSender>,
     ) -> Router {
         let now = shared.clock.now();
         let figures_at = now + shared.limits.figures_ms;
         let mut outbox = RouterOutbox {
-            pool: Pool::new(shared.clone(), orders),
+            pool: Pool::new(shared.clone(), commands),
             shared,
             ops: HashMap::new(),
-            open: HashSet::new(),
-            ended: VecDeque::new(),
-            unasked: VecDeque::new(),
+            open_op_ids: HashSet::new(),
+            ended_sends: VecDeque::new(),
+            unsent_probes: VecDeque::new(),
             wake_at: now,
-            ask_list,
+            list_requests,
             counts: Counts::default(),
-            lost: Vec::new(),
+            unresponsive_hosts: Vec::new(),
         };
-        let bounded = terms
+        let bounds_ms = terms
             .op_types
             .iter()
             .filter(|t| t.consistency == Consistency::Bounded)
             .map(|t| t.staleness_bound_ms);
-        let observer = Observer::new(bounded.reduce(f64::min));
+        let observer = Observer::new(bounds_ms.reduce(f64::min));
         let policy = Policy::new(terms, seed, now, &mut outbox);
         let (timeouts_ms, zones) = (fields.op_timeouts_ms.clone(), fields.zone_names.clone());
-        let carried = fields.clients_report_writes;
-        let (next_op, tidy_at, groups) = (0, now, HashMap::new());
+        let ops_carry_last_write = fields.clients_report_writes;
+        let (last_op, cleanup_at, groups) = (0, now, HashMap::new());
         Router {
             policy,
             outbox,
-            carried,
+            ops_carry_last_write,
             timeouts_ms,
             zones,
             observer,
             observations,
             groups,
             has_too_many_hosts: false,
-            next_op,
+            last_op,
             figures_at,
-            tidy_at,
+            cleanup_at,
         }
     }
 
-    /// A page of the list, read in full before.
-    pub fn apply_host_list(&mut self, page: &Value, kept: bool) {
+    /// Applies a response of the host list that has been validated. `is_saved`: it is the last known list from the
+    /// configuration and may be old.
+    pub fn apply_host_list(&mut self, response: &Value, is_saved: bool) {
         let now = self.outbox.shared.clock.now();
         let (policy, pool) = (&mut self.policy, &mut self.outbox.pool);
-        policy.list_started(kept || list::is_complete(page), kept);
+        policy.list_started(is_saved || list::is_complete(response), is_saved);
         let (zones, groups) = (&self.zones, &mut self.groups);
-        let read = list::parse_entries(page, zones, |id, addr, cluster, mut entry| {
-            entry.group = pool.group(cluster);
-            let host = pool.host(id, addr);
+        let read = list::parse_entries(response, zones, |id, addr, cluster, mut entry| {
+            entry.group = pool.upsert_group(cluster);
+            let host = pool.upsert_host(id, addr);
             groups.insert(host, GroupId { index: entry.group, key: cluster as u32 });
             policy.host_listed(now, host, entry);
         });
         if let Err(why) = read {
-            tracing::warn!(%why, "a page of the list is odd");
+            tracing::warn!(%why, "invalid host list response");
         }
         self.policy.list_ended(now, &mut self.outbox);
         self.warn_of_too_many_hosts();
         self.outbox.shared.ready.store(true, Release);
-        self.settle();
+        self.report_local_endings();
     }
 
-    /// Says once that the list names more hosts than connections may be open: each op may then need a new one.
+    /// Warns once when the list names more hosts than connections may be open: each op may then need a new
+    /// connection.
     fn warn_of_too_many_hosts(&mut self) {
-        let (hosts, connections) = (self.outbox.pool.hosts(), self.outbox.shared.limits.host_connections);
+        let (hosts, connections) =
+            (self.outbox.pool.host_count(), self.outbox.shared.limits.host_connections);
         let too_many = hosts > connections;
         if too_many && !self.has_too_many_hosts {
             tracing::warn!(hosts, connections, "the list names more hosts than connections may be open");
@@ -287,20 +299,21 @@
         self.has_too_many_hosts = too_many;
     }
 
-    pub fn run(mut self, events: &Receiver<Event>, news: &Receiver<ListUpdate>) {
+    /// Runs until it receives `Event::Stop`.
+    pub fn run(mut self, events: &Receiver<Event>, list_responses: &Receiver<ListUpdate>) {
         loop {
-            let wait = self.outbox.shared.clock.until(self.outbox.next_beat());
+            let wait = self.outbox.shared.clock.until(self.outbox.next_tick_at());
             match events.recv_timeout(wait) {
-                Ok(Event::Stop) => return self.figures(true),
-                // News of the list never waits behind ops.
+                Ok(Event::Stop) => return self.log_figures(true),
+                // Responses of the list never wait behind ops.
                 Ok(event) => {
-                    self.take_news(news);
-                    self.take(event);
-                    // What has queued up meanwhile is taken in one go, but not past the beat for long.
+                    self.receive_list_responses(list_responses);
+                    self.handle_event(event);
+                    // Events queued meanwhile are handled in one batch, limited so that the tick isn't delayed for long.
                     for _ in 1..self.outbox.shared.limits.events {
                         match events.try_recv() {
-                            Ok(Event::Stop) => return self.figures(true),
-                            Ok(event) => self.take(event),
+                            Ok(Event::Stop) => return self.log_figures(true),
+                            Ok(event) => self.handle_event(event),
                             Err(_) => break,
                         }
                     }
@@ -309,72 +322,73 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             let now = self.outbox.shared.clock.now();
-            if now >= self.outbox.next_beat() {
-                self.take_news(news);
+            if now >= self.outbox.next_tick_at() {
+                self.receive_list_responses(list_responses);
                 if self.outbox.shared.is_stopping() {
                     self.policy.set_shutdown_deadline(self.outbox.shared.stop_deadline());
                 }
                 self.policy.tick(now, &mut self.outbox);
-                self.settle();
-                if now >= self.tidy_at {
-                    self.tidy_at = now + self.outbox.shared.limits.tidy_ms;
+                self.report_local_endings();
+                if now >= self.cleanup_at {
+                    self.cleanup_at = now + self.outbox.shared.limits.tidy_ms;
                     let (policy, observer, groups) = (&mut self.policy, &mut self.observer, &mut self.groups);
-                    self.outbox.pool.tidy(|host| {
-                        let over = policy.release_host(now, host);
-                        if over {
-                            observer.forget(host);
+                    self.outbox.pool.remove_gone_hosts(|host| {
+                        let is_gone = policy.release_host(now, host);
+                        if is_gone {
+                            observer.remove_host(host);
                             groups.remove(&host);
                         }
-                        over
+                        is_gone
                     });
                 }
                 if now >= self.figures_at {
                     self.figures_at = now + self.outbox.shared.limits.figures_ms;
-                    self.figures(false);
+                    self.log_figures(false);
                 }
             }
-            self.outbox.pool.wake_hosts();
+            self.outbox.pool.wake_host_loop();
         }
     }
 
-    fn figures(&self, last: bool) {
+    /// Logs totals and current counts; `is_last`: the router has stopped.
+    fn log_figures(&self, is_last: bool) {
         let (shared, c) = (&self.outbox.shared, &self.outbox.counts);
         tracing::info!(
-            taken = c.taken,
+            taken = c.received,
             acked = c.acked,
             busy = c.busy,
             errored = c.errored,
-            left = c.left,
+            left = c.abandoned,
             open = self.outbox.ops.len(),
             probes = c.probes,
-            dials = self.outbox.pool.dials,
-            hosts = self.outbox.pool.hosts(),
-            connections = self.outbox.pool.connections(),
+            dials = self.outbox.pool.opened,
+            hosts = self.outbox.pool.host_count(),
+            connections = self.outbox.pool.connection_count(),
             clients = shared.clients(),
             threads = shared.threads.load(Relaxed),
             held = shared.reserved_bytes.load(Relaxed),
             "{}",
-            if last { "stopped" } else { "figures" }
+            if is_last { "stopped" } else { "figures" }
         );
     }
 
-    fn take_news(&mut self, news: &Receiver<ListUpdate>) {
-        for page in news.try_iter() {
-            match page {
-                Some(page) => self.apply_host_list(&page, false),
+    fn receive_list_responses(&mut self, list_responses: &Receiver<ListUpdate>) {
+        for response in list_responses.try_iter() {
+            match response {
+                Some(response) => self.apply_host_list(&response, false),
                 None => self.policy.list_failed(self.outbox.shared.clock.now()),
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.outbox.shared.clock.now();
         match event {
-            // It left while its op waited in the channel.
-            Event::OpArrived { client, .. } if client.is_disconnected() => self.outbox.counts.left += 1,
+            // The client disconnected while its op was queued.
+            Event::OpArrived { client, .. } if client.is_disconnected() => self.outbox.counts.abandoned += 1,
             Event::OpArrived { client, seq, facts, statement, arrived_at } => {
-                if !self.outbox.open.insert(facts.id) {
-                    // Another op has this id: one of the two could be taken for the other by hosts.
+                if !self.outbox.open_op_ids.insert(facts.id) {
+                    // Another open op has this id: hosts could mistake one of the two for the other.
                     let mut bytes = Vec::new();
                     encode::error_response(&mut bytes, false, "55006", "an open op has this id", "");
                     bytes.extend_from_slice(&encode::READY_FOR_QUERY);
@@ -382,52 +396,52 @@
                     client.answer(seq, bytes, held);
                     return;
                 }
-                self.next_op += 1;
-                let id = self.next_op;
-                let until = (arrived_at + facts.client_timeout_ms).min(self.outbox.shared.stop_deadline());
+                self.last_op += 1;
+                let id = self.last_op;
+                let deadline = (arrived_at + facts.client_timeout_ms).min(self.outbox.shared.stop_deadline());
                 let sends = Vec::new();
-                let name = facts.id;
-                let op = Op { name, client, seq, statement, until, answered: false, sends };
+                let client_op_id = facts.id;
+                let op = Op { client_op_id, client, seq, statement, deadline, is_answered: false, sends };
                 self.outbox.ops.insert(id, op);
-                self.outbox.counts.taken += 1;
-                match self.outbox.pool.known_group(facts.cluster) {
-                    Some(group) => self.arrived(now, id, group, until - now, &facts),
-                    // No list has named it: nothing was sent, so trying again is harmless.
+                self.outbox.counts.received += 1;
+                match self.outbox.pool.group(facts.cluster) {
+                    Some(group) => self.submit_op(now, id, group, deadline - now, &facts),
+                    // The list has not named this group: nothing was sent, so a retry is safe.
                     None => self.outbox.busy_reply(id, 0.0),
                 }
             }
             Event::ClientDisconnected { client } => {
                 let outbox = &self.outbox;
-                let gone = outbox.ops.iter().filter(|(_, o)| o.client.id == client && !o.answered);
-                let mut gone: Vec<OpId> = gone.map(|(id, _)| *id).collect();
-                gone.sort_unstable();
-                // All at once, or room that one leaves would go to another of them.
-                for id in &gone {
-                    let op = self.outbox.ops.get_mut(id).expect("just seen");
-                    op.answered = true;
-                    self.outbox.open.remove(&op.name);
+                let abandoned = outbox.ops.iter().filter(|(_, o)| o.client.id == client && !o.is_answered);
+                let mut abandoned: Vec<OpId> = abandoned.map(|(id, _)| *id).collect();
+                abandoned.sort_unstable();
+                // All are marked before the policy acts, else capacity freed by one would go to another of them.
+                for id in &abandoned {
+                    let op = self.outbox.ops.get_mut(id).expect("found above");
+                    op.is_answered = true;
+                    self.outbox.open_op_ids.remove(&op.client_op_id);
                 }
-                self.outbox.counts.left += gone.len() as u64;
-                self.policy.client_left(now, &mut self.outbox, &gone);
-                gone.into_iter().for_each(|id| self.outbox.drop_if_over(id));
+                self.outbox.counts.abandoned += abandoned.len() as u64;
+                self.policy.client_left(now, &mut self.outbox, &abandoned);
+                abandoned.into_iter().for_each(|id| self.outbox.remove_if_finished(id));
             }
-            Event::JobFinished { conn, result } => self.back(now, conn, *result),
-            Event::IdleConnectionClosed { conn } => match self.outbox.pool.closed(conn) {
-                Some((host, Task::Send { op, send })) => self.outbox.send_on(op, send, host),
-                Some((host, Task::Probe { since })) => self.outbox.probe_on(host, since),
+            Event::JobFinished { conn_id, result } => self.finish_job(now, conn_id, *result),
+            Event::IdleConnectionClosed { conn_id } => match self.outbox.pool.remove(conn_id) {
+                Some((host, Task::Send { op, send })) => self.outbox.start_send(op, send, host),
+                Some((host, Task::Probe { started_at })) => self.outbox.start_probe(host, started_at),
                 _ => {}
             },
             Event::AdmissionChanged { share, retry_after_ms } => {
                 self.policy.set_admission(share, retry_after_ms)
             }
-            Event::PeerFacts(peer_facts) => self.peer_facts(now, peer_facts),
+            Event::PeerFacts(peer_facts) => self.apply_peer_facts(now, peer_facts),
             Event::ListResponse | Event::Stop => {}
         }
-        self.settle();
+        self.report_local_endings();
     }
 
-    /// What peers tell, by this router's own numbers; what it does not know is passed over.
-    fn peer_facts(&mut self, now: f64, peer_facts: Vec<magpiewell_tier::PeerFact>) {
+    /// Applies facts received from peers. Facts about hosts that this router doesn't know are ignored.
+    fn apply_peer_facts(&mut self, now: f64, peer_facts: Vec<magpiewell_tier::PeerFact>) {
         for peer_fact in peer_facts {
             let (key, peer_fact) = match peer_fact {
                 magpiewell_tier::PeerFact::Primary { host, observed_at: at, .. } => {
@@ -443,34 +457,36 @@
                 }
                 _ => continue,
             };
-            if let Some(host) = self.outbox.pool.keyed(key) {
+            if let Some(host) = self.outbox.pool.host_by_key(key) {
                 self.policy.peer_reported(now, &mut self.outbox, host, peer_fact);
             }
         }
     }
 
-    /// Shares with peers what an answer showed.
-    fn share_observation(&mut self, now: f64, host: usize, told: &Told) {
+    /// Shares with peers what an answer showed of its host.
+    fn share_observation(&mut self, now: f64, host: usize, status: &HostStatus) {
         let (Some(observations), Some(group)) = (&self.observations, self.groups.get(&host)) else { return };
-        let (role, position) = (told.role.or(told.report_role), told.pos.or(told.report_pos));
-        let host = HostId { index: host, key: self.outbox.pool.key(host) };
+        let (role, position) =
+            (status.role.or(status.report_role), status.position.or(status.report_position));
+        let host = HostId { index: host, key: self.outbox.pool.host_key(host) };
         if let Some(observation) = self.observer.record_answer(now, host, *group, role, position) {
             observations.send(observation);
         }
     }
 
-    fn arrived(&mut self, now: f64, id: OpId, group: usize, patience: f64, facts: &OpFacts) {
-        // The commit stands there as a time, and the policy takes how long ago that was.
+    /// Passes an op to the policy; `remaining_ms` is what is left of its client timeout.
+    fn submit_op(&mut self, now: f64, id: OpId, group: usize, remaining_ms: f64, facts: &OpFacts) {
+        // Ops state the time of the commit; the policy takes its age.
         let age = |after: f64| (now - after).max(0.001);
-        let since = self.carried.then(|| facts.after.map_or(0.0, age));
+        let last_write_age = self.ops_carry_last_write.then(|| facts.after.map_or(0.0, age));
         let op = OpRequest {
             id,
             op_type: facts.op_type,
             group,
             tenant: facts.tenant,
             session: facts.session,
-            client_timeout_ms: patience,
-            since_write_ms: since,
+            client_timeout_ms: remaining_ms,
+            since_write_ms: last_write_age,
             is_retry: facts.is_retry,
             extra_latency_ms: 0.0,
             op_timeout_ms: self.timeouts_ms[facts.op_type],
@@ -478,59 +494,61 @@
         self.policy.op_arrived(now, &mut self.outbox, op);
     }
 
-    /// What came back on a connection: what it tells first, then how it ended.
-    fn back(&mut self, now: f64, conn: u64, result: Result) {
-        let Some((host, task)) = self.outbox.pool.finish(conn, result.open) else { return };
-        self.tell(now, host, &result.told);
-        self.share_observation(now, host, &result.told);
+    /// Reports a finished job to the policy: first the host's status, then how the job ended.
+    fn finish_job(&mut self, now: f64, conn_id: u64, result: JobResult) {
+        let Some((host, task)) = self.outbox.pool.finish_job(conn_id, result.is_reusable) else { return };
+        self.report_host_status(now, host, &result.host_status);
+        self.share_observation(now, host, &result.host_status);
         match task {
             Task::Send { op, send } => {
                 if let Some(o) = self.outbox.ops.get_mut(&op) {
-                    o.sends[send].conn = None;
+                    o.sends[send].conn_id = None;
                 }
                 if result.ending == Ending::Acked {
-                    let said = self.outbox.answer(op, |to| *to = result.answer);
-                    self.outbox.counts.acked += u64::from(said);
+                    let is_sent = self.outbox.answer(op, |reply| *reply = result.answer);
+                    self.outbox.counts.acked += u64::from(is_sent);
                 }
-                self.tell_ended(now, op, send, result.ending);
+                self.report_ended_send(now, op, send, result.ending);
             }
-            Task::Probe { since } => {
-                self.policy.probe_ended(now, &mut self.outbox, host, result.ending, now - since);
+            Task::Probe { started_at } => {
+                self.policy.probe_ended(now, &mut self.outbox, host, result.ending, now - started_at);
             }
-            Task::Nothing => {}
+            Task::Cancelled => {}
         }
     }
 
-    fn tell(&mut self, now: f64, host: usize, told: &Told) {
-        // A commit is rounded up to a whole ms and may lie that far ahead, where the policy would doubt it.
-        let ahead = told.pos.filter(|pos| *pos < now + self.outbox.shared.limits.ahead_ms);
-        let now = ahead.map_or(now, |pos| now.max(pos));
-        if told.role.is_some() || told.pos.is_some() {
-            self.policy.host_reported(now, host, told.role, told.pos, true);
+    fn report_host_status(&mut self, now: f64, host: usize, status: &HostStatus) {
+        // A commit's time is rounded up to a whole ms, so it may lie slightly ahead of the clock. The policy would
+        // reject such a position, so it gets the position's time as the present.
+        let ahead = status.position.filter(|position| *position < now + self.outbox.shared.limits.ahead_ms);
+        let now = ahead.map_or(now, |position| now.max(position));
+        if status.role.is_some() || status.position.is_some() {
+            self.policy.host_reported(now, host, status.role, status.position, true);
         }
-        if told.report_role.is_some() || told.report_pos.is_some() {
-            self.policy.host_reported(now, host, told.report_role, told.report_pos, false);
+        if status.report_role.is_some() || status.report_position.is_some() {
+            self.policy.host_reported(now, host, status.report_role, status.report_position, false);
         }
     }
 
-    fn tell_ended(&mut self, now: f64, op: OpId, send: usize, ending: Ending) {
-        let over = self.outbox.ops.get(&op).is_none_or(|o| o.answered);
-        self.policy.send_ended(now, &mut self.outbox, op, send, ending, over);
-        self.outbox.drop_if_over(op);
+    fn report_ended_send(&mut self, now: f64, op: OpId, send: usize, ending: Ending) {
+        let is_answered = self.outbox.ops.get(&op).is_none_or(|o| o.is_answered);
+        self.policy.send_ended(now, &mut self.outbox, op, send, ending, is_answered);
+        self.outbox.remove_if_finished(op);
     }
 
-    /// Tells the policy what ended here, until nothing more does.
-    fn settle(&mut self) {
-        for host in std::mem::take(&mut self.outbox.lost) {
+    /// Reports unresponsive hosts to peers, and to the policy all sends and probes that ended within the router,
+    /// until its reactions cause no more of them.
+    fn report_local_endings(&mut self) {
+        for host in std::mem::take(&mut self.outbox.unresponsive_hosts) {
             if let Some(observations) = &self.observations {
-                observations.send(Observation::Unresponsive { host: self.outbox.pool.key(host) });
+                observations.send(Observation::Unresponsive { host: self.outbox.pool.host_key(host) });
             }
         }
         loop {
             let now = self.outbox.shared.clock.now();
-            if let Some((op, send, ending)) = self.outbox.ended.pop_front() {
-                self.tell_ended(now, op, send, ending);
-            } else if let Some(host) = self.outbox.unasked.pop_front() {
+            if let Some((op, send, ending)) = self.outbox.ended_sends.pop_front() {
+                self.report_ended_send(now, op, send, ending);
+            } else if let Some(host) = self.outbox.unsent_probes.pop_front() {
                 self.policy.probe_ended(now, &mut self.outbox, host, Ending::Unsent, 0.0);
             } else {
                 return;
--- a/crates/router/src/send.rs
+++ b/crates/router/src/send.rs
@@ -1,7 +1,7 @@
-//! Sends to hosts: one connection, one job at a time. Dials, writes, reads until the answer is whole, and never
-//! waits: the hosts' loop (`host_loop.rs`) calls it when its socket has news or its time is up.
+//! Connections to hosts, one job at a time each: connects, writes the job and reads until the answer is complete,
+//! without blocking. The host loop (`host_loop.rs`) calls it when the socket is ready or its deadline has passed.
 
-use crate::answer::{Reading, Result, ended};
+use crate::answer::{AnswerReader, JobResult, without_answer};
 use crate::event::Statement;
 use crate::probe;
 use crate::shared::Shared;
@@ -17,10 +17,11 @@
 pub const USER: &str = "svc";
 pub const DATABASE: &str = "main";
 
-/// What a connection is to do, until when on the router's clock, and until when it may begin to be written.
+/// A job for a connection. `deadline` and `begin_by` are times on the router's clock: it must be finished by
+/// `deadline`, and writing it must have begun by `begin_by`.
 pub struct Job {
     pub work: Work,
-    pub until: f64,
+    pub deadline: f64,
     pub begin_by: f64,
 }
 
@@ -29,135 +30,147 @@
     Probe,
 }
 
-/// What the decision thread and the hosts' loop both see of a connection: how far its job is.
+/// How much of a connection's job has been written. Shared by the decision thread, which cancels jobs, and the host
+/// loop, which writes them.
 #[derive(Default)]
-pub struct Line(Mutex<Stage>);
+pub struct JobProgress(Mutex<Progress>);
 
 #[derive(Default)]
-enum Stage {
+enum Progress {
     /// Nothing of the job has been written.
     #[default]
-    Waiting,
-    /// Some of it, and all of it.
-    Begun(Arc<TcpStream>),
+    Unwritten,
+    /// Part of the job has been written.
+    PartlyWritten(Arc<TcpStream>),
+    /// All of the job has been written.
     Written(Arc<TcpStream>),
-    CalledBack,
+    Cancelled,
 }
 
-/// How much of a job a call back ends.
+/// Which jobs a cancellation applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallBack {
-    /// Only one of which nothing has been written.
-    Waiting,
-    /// One that the host has not got whole: it can't have begun.
-    Unfinished,
-    /// Any.
+pub enum CancelScope {
+    /// Only jobs of which nothing has been written.
+    Unwritten,
+    /// Jobs that are not fully written: the host can't have started them.
+    Incomplete,
+    /// All jobs.
     All,
 }
 
-/// What a call back came to.
+/// The outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CalledBack {
-    /// Nothing of the job was or will be written; a dial goes on for the next job.
-    Unwritten,
-    /// Its connection is broken off, and the loop still tells how it ended, be it by an answer that came before.
-    BrokenOff,
-    /// It goes on.
-    No,
+pub enum CancelOutcome {
+    /// Nothing of the job was or will be written. If its connection is still being opened, that continues, for the
+    /// next job.
+    NeverWritten,
+    /// The connection is shut down. The host loop still reports how the job ended, which may be by an answer that
+    /// was received before.
+    ShutDown,
+    /// The job is out of scope and continues.
+    Continues,
 }
 
-impl Line {
-    fn stage(&self) -> MutexGuard<'_, Stage> {
-        self.0.lock().unwrap_or_else(|broken| broken.into_inner())
+impl JobProgress {
+    fn lock(&self) -> MutexGuard<'_, Progress> {
+        self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    pub fn begin(&self) {
-        *self.stage() = Stage::Waiting;
+    /// Starts over, for a new job.
+    pub fn reset(&self) {
+        *self.lock() = Progress::Unwritten;
     }
 
-    pub fn call_back(&self, which: CallBack) -> CalledBack {
-        let mut stage = self.stage();
-        let ends = match &*stage {
-            Stage::Waiting => true,
-            Stage::Begun(_) => which != CallBack::Waiting,
-            Stage::Written(_) => which == CallBack::All,
-            Stage::CalledBack => return CalledBack::BrokenOff,
+    pub fn cancel(&self, scope: CancelScope) -> CancelOutcome {
+        let mut progress = self.lock();
+        let is_in_scope = match &*progress {
+            Progress::Unwritten => true,
+            Progress::PartlyWritten(_) => scope != CancelScope::Unwritten,
+            Progress::Written(_) => scope == CancelScope::All,
+            Progress::Cancelled => return CancelOutcome::ShutDown,
         };
-        if !ends {
-            return CalledBack::No;
+        if !is_in_scope {
+            return CancelOutcome::Continues;
         }
-        match std::mem::replace(&mut *stage, Stage::CalledBack) {
-            Stage::Begun(stream) | Stage::Written(stream) => {
+        match std::mem::replace(&mut *progress, Progress::Cancelled) {
+            Progress::PartlyWritten(stream) | Progress::Written(stream) => {
                 drop(stream.shutdown(Shutdown::Both));
-                CalledBack::BrokenOff
+                CancelOutcome::ShutDown
             }
-            _ => CalledBack::Unwritten,
+            _ => CancelOutcome::NeverWritten,
         }
     }
 
-    fn called_back(&self) -> bool {
-        matches!(*self.stage(), Stage::CalledBack)
+    fn is_cancelled(&self) -> bool {
+        matches!(*self.lock(), Progress::Cancelled)
     }
 
-    /// Writes what is taken without waiting, and notes how far the job is; none where it has been called back. Under
-    /// the lock, or a call back between the note and the write would break off what then counts as the host's doing.
+    /// Writes without blocking and records the progress; `None` where the job has been cancelled. Both happen under
+    /// one lock: a cancellation between them would shut the connection down in a way that looks like a fault of
+    /// the host.
     fn write(&self, stream: &Arc<TcpStream>, parts: &[&[u8]]) -> Option<std::io::Result<usize>> {
-        let mut stage = self.stage();
-        if matches!(*stage, Stage::CalledBack) {
+        let mut progress = self.lock();
+        if matches!(*progress, Progress::Cancelled) {
             return None;
         }
         let written = vectored_io::write_nonblocking(stream, parts);
-        let whole = parts.iter().map(|part| part.len()).sum::<usize>();
-        let all = written.as_ref().is_ok_and(|n| *n == whole);
-        *stage = if all { Stage::Written(stream.clone()) } else { Stage::Begun(stream.clone()) };
+        let total = parts.iter().map(|part| part.len()).sum::<usize>();
+        let is_complete = written.as_ref().is_ok_and(|n| *n == total);
+        *progress = if is_complete {
+            Progress::Written(stream.clone())
+        } else {
+            Progress::PartlyWritten(stream.clone())
+        };
         Some(written)
     }
 }
 
-/// What came of a step.
+/// What the host loop does after a step of a connection.
 pub enum Step {
-    /// It goes on when the socket has news.
+    /// Waits until the socket is ready.
     Wait,
-    /// The job is over; the connection stays where the result says so.
-    Over(Box<Result>),
-    /// It ended idle: of a job it may have been given meanwhile nothing was written.
+    /// Reports the finished job; keeps the connection where the result says that it is reusable.
+    Done(Box<JobResult>),
+    /// Drops a connection that was closed while idle: nothing was written of a job assigned to it meanwhile.
     Closed,
 }
 
 enum Phase {
     /// The connection is being opened, for a job.
-    Dialling(Job),
-    /// A job is being written or answered; none where the connection is only opened.
-    Carrying(Option<Job>, Reading),
+    Connecting(Job),
+    /// A job is being written or answered. Without a job, only the startup phase is completed.
+    Active(Option<Job>, AnswerReader),
     Idle,
 }
 
 pub struct Connection {
     shared: Arc<Shared>,
-    line: Arc<Line>,
+    progress: Arc<JobProgress>,
     pub stream: Arc<TcpStream>,
     phase: Phase,
     /// Nothing has been written on it yet.
-    fresh: bool,
-    /// What the host has not taken yet of what is written to it.
-    out: Vec<u8>,
+    is_new: bool,
+    /// Bytes that the socket has not accepted yet.
+    unsent: Vec<u8>,
+    /// Bytes received that don't make up a whole message yet.
     buf: Vec<u8>,
-    /// Bytes that have come for this job: what never ends would else have the loop to itself, or the op's whole time.
-    came: usize,
-    /// When this phase ends at the latest.
+    /// Bytes received for this job. They are limited, as an endless answer would otherwise occupy the loop or use up
+    /// the op's whole time.
+    received_bytes: usize,
+    /// The deadline of the current phase.
     due: f64,
 }
 
 impl Connection {
-    /// Starts to open a connection for a job; how the job ended where that can't be.
-    pub fn dial(
+    /// Starts to open a connection for a job. On failure, returns how the job ended.
+    pub fn connect(
         shared: &Arc<Shared>,
         addr: SocketAddr,
-        line: Arc<Line>,
+        progress: Arc<JobProgress>,
         job: Job,
     ) -> std::result::Result<Connection, Ending> {
         let now = shared.clock.now();
-        let due = job.until.min(job.begin_by).min(now + shared.limits.dial_ms);
+        let due = job.deadline.min(job.begin_by).min(now + shared.limits.dial_ms);
         if due <= now {
             return Err(Ending::Unsent);
         }
@@ -174,28 +187,28 @@
                 _ => Ok(TcpStream::from(socket)),
             }
         };
-        let stream = Arc::new(open().map_err(|e| unreached(&e))?);
-        let (shared, phase) = (shared.clone(), Phase::Dialling(job));
-        let (out, buf, came) = Default::default();
-        Ok(Connection { shared, line, stream, phase, fresh: true, out, buf, came, due })
+        let stream = Arc::new(open().map_err(|e| connect_error_ending(&e))?);
+        let (shared, phase) = (shared.clone(), Phase::Connecting(job));
+        let (unsent, buf, received_bytes) = Default::default();
+        Ok(Connection { shared, progress, stream, phase, is_new: true, unsent, buf, received_bytes, due })
     }
 
     pub fn due(&self) -> f64 {
         self.due
     }
 
-    /// Takes the next job.
-    pub fn take(&mut self, job: Job) -> Step {
-        // What the host closed meanwhile, or said too much, is noticed before anything is written to it.
+    /// Starts the next job.
+    pub fn start(&mut self, job: Job) -> Step {
+        // If the host has closed the connection or sent unexpected bytes meanwhile, nothing may be written to it.
         if !matches!(self.phase, Phase::Idle) || is_stale(&self.stream) {
             return Step::Closed;
         }
-        self.carry(job)
+        self.write_job(job)
     }
 
-    /// The socket has news. `writable`: it takes bytes, or could not be opened; `ended`: the host has ended its
-    /// sending.
-    pub fn news(&mut self, writable: bool, ended: bool, scratch: &mut [u8]) -> Step {
+    /// The socket is ready. `writable`: it accepts bytes, or connecting failed; `read_closed`: the host has closed
+    /// its side.
+    pub fn on_ready(&mut self, writable: bool, read_closed: bool, scratch: &mut [u8]) -> Step {
         match std::mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Idle => {
                 if is_stale(&self.stream) {
@@ -203,186 +216,195 @@
                 }
                 Step::Wait
             }
-            Phase::Dialling(job) if !writable => {
-                self.phase = Phase::Dialling(job);
+            Phase::Connecting(job) if !writable => {
+                self.phase = Phase::Connecting(job);
                 Step::Wait
             }
-            Phase::Dialling(job) => match self.stream.take_error() {
+            Phase::Connecting(job) => match self.stream.take_error() {
                 Ok(None) if self.stream.peer_addr().is_err() => {
-                    self.phase = Phase::Dialling(job);
+                    self.phase = Phase::Connecting(job);
                     Step::Wait
                 }
-                Ok(None) => self.carry(job),
-                Ok(Some(e)) | Err(e) => over(crate::answer::ended(unreached(&e))),
+                Ok(None) => self.write_job(job),
+                Ok(Some(e)) | Err(e) => done(crate::answer::without_answer(connect_error_ending(&e))),
             },
-            Phase::Carrying(job, reading) => {
-                self.phase = Phase::Carrying(job, reading);
+            Phase::Active(job, reader) => {
+                self.phase = Phase::Active(job, reader);
                 if writable
-                    && !self.out.is_empty()
-                    && let Some(step) = self.write_on()
+                    && !self.unsent.is_empty()
+                    && let Some(step) = self.write_unsent()
                 {
                     return step;
                 }
-                if self.out.is_empty() { self.read(scratch, ended) } else { Step::Wait }
+                if self.unsent.is_empty() { self.read(scratch, read_closed) } else { Step::Wait }
             }
         }
     }
 
-    /// Its time is up.
-    pub fn overdue(&mut self) -> Step {
+    /// The deadline of the current phase has passed.
+    pub fn on_timeout(&mut self) -> Step {
         match std::mem::replace(&mut self.phase, Phase::Idle) {
-            // Hosts are about to close it.
+            // The host is about to close it.
             Phase::Idle => Step::Closed,
-            // It took longer than the op's repeat or the age of the host's data allows: not the host's fault.
-            Phase::Dialling(job) if self.shared.clock.now() >= job.begin_by => over(ended(Ending::Unsent)),
-            Phase::Dialling(_) => over(ended(Ending::Unreached)),
-            Phase::Carrying(Some(_), _) if self.line.called_back() => over(ended(Ending::Withdrawn)),
-            // The last byte was not written: the host cannot have begun.
-            Phase::Carrying(Some(_), _) if !self.out.is_empty() => over(ended(Ending::Unreached)),
-            Phase::Carrying(Some(job), reading) => over(self.result(&job, reading, Some(Ending::TimedOut))),
-            Phase::Carrying(None, _) => over(ended(Ending::Withdrawn)),
+            // Connecting took longer than the op's repeat window or the allowed age of the host's data: not the
+            // host's fault.
+            Phase::Connecting(job) if self.shared.clock.now() >= job.begin_by => {
+                done(without_answer(Ending::Unsent))
+            }
+            Phase::Connecting(_) => done(without_answer(Ending::Unreached)),
+            Phase::Active(Some(_), _) if self.progress.is_cancelled() => {
+                done(without_answer(Ending::Withdrawn))
+            }
+            // The last byte was not written, so the host can't have started the job.
+            Phase::Active(Some(_), _) if !self.unsent.is_empty() => done(without_answer(Ending::Unreached)),
+            Phase::Active(Some(job), reader) => done(self.result(&job, reader, Some(Ending::TimedOut))),
+            Phase::Active(None, _) => done(without_answer(Ending::Withdrawn)),
         }
     }
 
-    /// Writes the job, on a connection that is open.
-    fn carry(&mut self, job: Job) -> Step {
+    /// Writes the job on an open connection.
+    fn write_job(&mut self, job: Job) -> Step {
         let (now, limits) = (self.shared.clock.now(), &self.shared.limits);
-        let fresh = std::mem::replace(&mut self.fresh, false);
-        let mut opening = Vec::new();
-        if fresh {
-            encode::startup_message(&mut opening, USER, DATABASE);
+        let is_new = std::mem::replace(&mut self.is_new, false);
+        let mut startup = Vec::new();
+        if is_new {
+            encode::startup_message(&mut startup, USER, DATABASE);
         }
         self.buf.clear();
-        self.came = 0;
-        if now >= job.begin_by.min(job.until) && !self.line.called_back() {
-            let result = Result { open: !fresh, ..ended(Ending::Unsent) };
-            return if fresh { over(result) } else { self.rest(result) };
+        self.received_bytes = 0;
+        if now >= job.begin_by.min(job.deadline) && !self.progress.is_cancelled() {
+            let result = JobResult { is_reusable: !is_new, ..without_answer(Ending::Unsent) };
+            return if is_new { done(result) } else { self.finish(result) };
         }
-        let left = self.shared.clock.until(job.until).as_millis().max(1);
-        let (tag, wait) = match &job.work {
-            Work::Op(statement) if statement.is_write => (&b"INSERT 0 1"[..], format!("{left}")),
-            Work::Op(_) => (&b"SELECT 1"[..], format!("{left}")),
+        let remaining_ms = self.shared.clock.until(job.deadline).as_millis().max(1);
+        let (tag, timeout) = match &job.work {
+            Work::Op(statement) if statement.is_write => (&b"INSERT 0 1"[..], format!("{remaining_ms}")),
+            Work::Op(_) => (&b"SELECT 1"[..], format!("{remaining_ms}")),
             Work::Probe => (&b"SHOW"[..], String::new()),
         };
-        let (before, behind) = match &job.work {
+        let (before, after) = match &job.work {
             Work::Op(s) => (&s.text[..s.timeout_range.start], &s.text[s.timeout_range.end..]),
-            Work::Probe => (probe::ASK, &b""[..]),
+            Work::Probe => (probe::USAGE_QUERY, &b""[..]),
         };
-        let head = encode::query_header(before.len() + wait.len() + behind.len());
-        let parts = [&opening, &head[..], before, wait.as_bytes(), behind, &[0]];
-        let mut taken = match self.line.write(&self.stream, &parts) {
-            Some(Ok(taken)) => taken,
-            Some(Err(_)) => return over(ended(Ending::Unreached)),
-            None if !fresh => return self.rest(Result { open: true, ..ended(Ending::Withdrawn) }),
-            // Dialled for a job that was called back meanwhile: kept for the next one.
+        let head = encode::query_header(before.len() + timeout.len() + after.len());
+        let parts = [&startup, &head[..], before, timeout.as_bytes(), after, &[0]];
+        let mut written = match self.progress.write(&self.stream, &parts) {
+            Some(Ok(written)) => written,
+            Some(Err(_)) => return done(without_answer(Ending::Unreached)),
+            None if !is_new => {
+                return self.finish(JobResult { is_reusable: true, ..without_answer(Ending::Withdrawn) });
+            }
+            // Opened for a job that was cancelled meanwhile: kept for the next one.
             None => {
                 self.due = now + limits.dial_ms;
-                self.phase = Phase::Carrying(None, Reading::new(true, true, b""));
-                return match vectored_io::write_nonblocking(&self.stream, &[&opening]) {
-                    Ok(taken) if taken == opening.len() => Step::Wait,
-                    _ => over(ended(Ending::Withdrawn)),
+                self.phase = Phase::Active(None, AnswerReader::new(true, true, b""));
+                return match vectored_io::write_nonblocking(&self.stream, &[&startup]) {
+                    Ok(written) if written == startup.len() => Step::Wait,
+                    _ => done(without_answer(Ending::Withdrawn)),
                 };
             }
         };
         for part in parts {
-            self.out.extend_from_slice(&part[taken.min(part.len())..]);
-            taken -= taken.min(part.len());
+            self.unsent.extend_from_slice(&part[written.min(part.len())..]);
+            written -= written.min(part.len());
         }
-        // A host begins at the last byte: that too must come in time.
-        self.due = if self.out.is_empty() { job.until } else { (now + limits.dial_ms).min(job.begin_by) };
-        self.phase = Phase::Carrying(Some(job), Reading::new(fresh, false, tag));
+        // The host starts the job at the last byte, so that byte must be written in time as well.
+        self.due =
+            if self.unsent.is_empty() { job.deadline } else { (now + limits.dial_ms).min(job.begin_by) };
+        self.phase = Phase::Active(Some(job), AnswerReader::new(is_new, false, tag));
         Step::Wait
     }
 
-    /// Writes what the host did not take at once.
-    fn write_on(&mut self) -> Option<Step> {
-        let taken = match self.line.write(&self.stream, &[&self.out]) {
-            Some(Ok(taken)) => taken,
-            Some(Err(_)) => return Some(over(ended(Ending::Unreached))),
-            None => return Some(over(ended(Ending::Withdrawn))),
+    /// Writes what the socket did not accept before.
+    fn write_unsent(&mut self) -> Option<Step> {
+        let written = match self.progress.write(&self.stream, &[&self.unsent]) {
+            Some(Ok(written)) => written,
+            Some(Err(_)) => return Some(done(without_answer(Ending::Unreached))),
+            None => return Some(done(without_answer(Ending::Withdrawn))),
         };
-        self.out.drain(..taken);
-        if let (true, Phase::Carrying(Some(job), _)) = (self.out.is_empty(), &self.phase) {
-            self.out = Vec::new();
-            self.due = job.until;
+        self.unsent.drain(..written);
+        if let (true, Phase::Active(Some(job), _)) = (self.unsent.is_empty(), &self.phase) {
+            self.unsent = Vec::new();
+            self.due = job.deadline;
         }
         None
     }
 
-    /// Reads what has come, until the answer is whole.
-    fn read(&mut self, scratch: &mut [u8], closed: bool) -> Step {
-        let Phase::Carrying(job, mut reading) = std::mem::replace(&mut self.phase, Phase::Idle) else {
+    /// Reads what has arrived, until the answer is complete.
+    fn read(&mut self, scratch: &mut [u8], read_closed: bool) -> Step {
+        let Phase::Active(job, mut reader) = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return Step::Wait;
         };
-        let broke = loop {
+        let read_end = loop {
             match (&*self.stream).read(scratch) {
                 Ok(0) => break Some(Ending::Reset),
                 Ok(n) => {
                     let read = &scratch[..n];
-                    self.came += n;
+                    self.received_bytes += n;
                     if self.buf.is_empty() {
-                        let at = feed(read, &mut reading, self.shared.limits.message_bytes);
+                        let at = read_messages(read, &mut reader, self.shared.limits.message_bytes);
                         self.buf.extend_from_slice(&read[at..]);
                     } else {
                         self.buf.extend_from_slice(read);
-                        let at = feed(&self.buf, &mut reading, self.shared.limits.message_bytes);
+                        let at = read_messages(&self.buf, &mut reader, self.shared.limits.message_bytes);
                         self.buf.drain(..at);
                     }
-                    if !reading.done() && self.came > self.shared.limits.answer_bytes {
-                        reading.spoil();
+                    if !reader.is_done() && self.received_bytes > self.shared.limits.answer_bytes {
+                        reader.mark_malformed();
                     }
-                    if reading.done() {
+                    if reader.is_done() {
                         break None;
                     }
-                    if n < scratch.len() && !closed {
-                        self.phase = Phase::Carrying(job, reading);
+                    if n < scratch.len() && !read_closed {
+                        self.phase = Phase::Active(job, reader);
                         return Step::Wait;
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.phase = Phase::Carrying(job, reading);
+                    self.phase = Phase::Active(job, reader);
                     return Step::Wait;
                 }
                 Err(_) => break Some(Ending::Reset),
             }
         };
         let result = match job {
-            Some(job) => self.result(&job, reading, broke),
+            Some(job) => self.result(&job, reader, read_end),
             None => {
-                let open = broke.is_none() && reading.admitted() && self.buf.is_empty();
-                Result { open, ..ended(Ending::Withdrawn) }
+                let is_reusable = read_end.is_none() && reader.is_accepted() && self.buf.is_empty();
+                JobResult { is_reusable, ..without_answer(Ending::Withdrawn) }
             }
         };
-        self.rest(Result { open: result.open && !closed, ..result })
+        self.finish(JobResult { is_reusable: result.is_reusable && !read_closed, ..result })
     }
 
-    fn result(&self, job: &Job, reading: Reading, broke: Option<Ending>) -> Result {
-        let broke = match broke {
-            // This router broke it: taken for the host's doing, each op withdrawn made its host look dead.
-            Some(Ending::Reset) if self.line.called_back() => Some(Ending::Withdrawn),
+    fn result(&self, job: &Job, reader: AnswerReader, read_end: Option<Ending>) -> JobResult {
+        let read_end = match read_end {
+            // This router shut the connection down. Counted as the host's doing, each withdrawn op would make its
+            // host look dead.
+            Some(Ending::Reset) if self.progress.is_cancelled() => Some(Ending::Withdrawn),
             other => other,
         };
-        reading.result(broke, !self.buf.is_empty(), matches!(job.work, Work::Probe))
+        reader.into_result(read_end, !self.buf.is_empty(), matches!(job.work, Work::Probe))
     }
 
-    /// The job is over, and the connection may wait for the next one.
-    fn rest(&mut self, result: Result) -> Step {
+    /// The job is done; the connection is idle until the next one.
+    fn finish(&mut self, result: JobResult) -> Step {
         self.phase = Phase::Idle;
-        // What is idle keeps no room.
+        // An idle connection holds no buffer.
         self.buf = Vec::new();
         self.due = self.shared.clock.now() + self.shared.limits.host_idle.as_secs_f64() * 1000.0;
-        over(result)
+        done(result)
     }
 }
 
-fn over(result: Result) -> Step {
-    Step::Over(Box::new(result))
+fn done(result: JobResult) -> Step {
+    Step::Done(Box::new(result))
 }
 
-fn unreached(e: &std::io::Error) -> Ending {
+fn connect_error_ending(e: &std::io::Error) -> Ending {
     match e.raw_os_error() {
-        // Out of descriptors, ports or memory here: this tells nothing of the host.
+        // The router is out of descriptors, ports or memory, which says nothing about the host.
         Some(libc::ENFILE | libc::EMFILE | libc::EADDRNOTAVAIL | libc::ENOBUFS | libc::ENOMEM) => {
             Ending::Unsent
         }
@@ -390,34 +412,34 @@
     }
 }
 
-/// Takes all whole messages up to the answer's end; tells where the rest begins.
-fn feed(buf: &[u8], reading: &mut Reading, most: usize) -> usize {
+/// Reads all whole messages up to the end of the answer; returns the offset of the first unread byte.
+fn read_messages(buf: &[u8], reader: &mut AnswerReader, max_message_bytes: usize) -> usize {
     let mut at = 0;
-    while !reading.done() {
+    while !reader.is_done() {
         let buf = &buf[at..];
-        // A message that can't be one ends the answer at its head: waited for, it would cost the op all of its
+        // An invalid message is detected by its first bytes: waiting for the rest would cost the op all of its
         // time.
         let rest = buf.get(5..).unwrap_or_default();
-        let sound = frame::length_at(buf, 1).is_none_or(|length| {
+        let is_valid = frame::length_at(buf, 1).is_none_or(|length| {
             validate::is_valid_prefix(buf[0], length, &rest[..rest.len().min(length.saturating_sub(4))])
         });
-        if !sound || buf.first().is_some_and(|kind| !validate::is_known_kind(*kind)) {
-            reading.spoil();
+        if !is_valid || buf.first().is_some_and(|kind| !validate::is_known_kind(*kind)) {
+            reader.mark_malformed();
             break;
         }
-        match frame::message(buf, most) {
+        match frame::message(buf, max_message_bytes) {
             Ok(Some((kind, body))) => {
                 at += body.end;
-                reading.take(kind, &buf[body.clone()], &buf[..body.end]);
+                reader.read_message(kind, &buf[body.clone()], &buf[..body.end]);
             }
             Ok(None) => break,
-            Err(_) => reading.spoil(),
+            Err(_) => reader.mark_malformed(),
         }
     }
     at
 }
 
-/// True where an idle connection has ended, or says what nobody asked for.
+/// Whether an idle connection has ended or holds unexpected bytes.
 fn is_stale(stream: &TcpStream) -> bool {
     let flags = libc::MSG_PEEK | libc::MSG_DONTWAIT;
     let peeked = SockRef::from(stream).recv_with_flags(&mut [MaybeUninit::uninit()], flags);
--- a/crates/router/src/timers/tests.rs
+++ b/crates/router/src/timers/tests.rs
@@ -1,11 +1,12 @@
 use super::*;
 
-/// A time moved and one ended once fired all the same, or stayed behind for ever.
+/// Guards against timers that fire although they were moved or cancelled, and against entries that are never
+/// removed.
 #[test]
-fn only_the_last_time_set_fires_and_nothing_stays_behind() {
+fn only_the_latest_deadline_fires_and_no_entry_remains() {
     let mut timers = Timers::default();
-    for (no, due) in [(1, 10.2), (2, 5.0), (3, 7.0), (1, 6.0)] {
-        timers.set(no, Some(due));
+    for (id, due) in [(1, 10.2), (2, 5.0), (3, 7.0), (1, 6.0)] {
+        timers.set(id, Some(due));
     }
     timers.set(3, None);
     assert_eq!((timers.next_due(), timers.pop_due(4.9)), (Some(5.0), None));
