--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -1,5 +1,5 @@
-//! Reads hosts' answers message by message, checks each message before using it, and derives the ending of the
-//! job.
+//! Reads hosts' answers message by message, checks each message before using it, and derives the ending of
+//! the job.
 
 use crate::probe::HostStatus;
 use magpiewell::Ending;
@@ -51,7 +51,8 @@
 }
 
 impl AnswerReader {
-    /// `is_new`: the connection is new, so its startup phase comes first. `is_startup_only`: no answer follows it.
+    /// `is_new`: the connection is new, so its startup phase comes first. `is_startup_only`: no answer
+    /// follows it.
     pub fn new(is_new: bool, is_startup_only: bool, expected_tag: &'static [u8]) -> AnswerReader {
         let state = if is_new { ReadState::Startup } else { ReadState::Waiting };
         let (answer, value, error_code, host_status) = Default::default();
--- a/crates/router/src/host_loop.rs
+++ b/crates/router/src/host_loop.rs
@@ -1,5 +1,6 @@
-//! The host loop: one thread that polls all connections to hosts, opens them, writes jobs to them and reads the
-//! answers. It executes the decision thread's commands, reports the results as events, and decides nothing.
+//! The host loop: one thread that polls all connections to hosts, opens them, writes jobs to them and reads
+//! the answers. It executes the decision thread's commands, reports the results as events, and decides
+//! nothing.
 
 use crate::answer::without_answer;
 use crate::event::Event;
@@ -21,7 +22,8 @@
 pub enum Command {
     /// Opens a connection for a job.
     Open { conn_id: u64, addr: SocketAddr, progress: Arc<JobProgress>, job: Job },
-    /// Runs a job on an idle connection. Ignored if the connection has just ended, which the loop has then reported.
+    /// Runs a job on an idle connection. Ignored if the connection has just ended, which the loop has then
+    /// reported.
     Run { conn_id: u64, job: Job },
     /// Closes an idle connection.
     Close { conn_id: u64 },
@@ -161,7 +163,12 @@
         match step {
             Step::Wait => {}
             Step::Done(result) => {
-                tracing::debug!(conn = conn_id, ending = ?result.ending, open = result.is_reusable, "job finished");
+                tracing::debug!(
+                    conn = conn_id,
+                    ending = ?result.ending,
+                    open = result.is_reusable,
+                    "job finished"
+                );
                 drop(self.events.send(Event::JobFinished { conn_id, result }));
             }
             Step::Closed => {
--- a/crates/router/src/observer.rs
+++ b/crates/router/src/observer.rs
@@ -1,5 +1,5 @@
-//! Observations that this router makes itself and shares with its peers: a host became a group's primary, a replica
-//! fell behind or has caught up. No I/O, no clock and no decisions.
+//! Observations that this router makes itself and shares with its peers: a host became a group's primary, a
+//! replica fell behind or has caught up. No I/O, no clock and no decisions.
 
 use magpiewell::Role;
 use magpiewell_facts::{GroupKey, HostKey, Observation};
@@ -9,8 +9,8 @@
 /// How often the lag of a replica that stays behind is reported.
 const LAG_REPORT_INTERVAL_MS: f64 = 1_000.0;
 
-/// A host's key in facts, derived from its id in the list. The hash has to be the same at every router and must not
-/// change with a library's version.
+/// A host's key in facts, derived from its id in the list. The hash has to be the same at every router and
+/// must not change with a library's version.
 pub fn host_key(id: &str) -> HostKey {
     // 32-bit FNV-1a with the published parameters.
     id.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
@@ -58,8 +58,8 @@
         Observer { tightest_bound_ms, replicas: Vec::new(), primaries: Vec::new() }
     }
 
-    /// Records the role and the position in a host's answer; returns the observation to share with peers, if there
-    /// is one.
+    /// Records the role and the position in a host's answer; returns the observation to share with peers, if
+    /// there is one.
     pub fn record_answer(
         &mut self,
         now: f64,
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -1,4 +1,5 @@
-//! The connection pool: the hosts that the list names, the connections to them, and the task of each connection.
+//! The connection pool: the hosts that the list names, the connections to them, and the task of each
+//! connection.
 
 use crate::host_loop::{Command, CommandSender};
 use crate::observer;
@@ -115,11 +116,11 @@
         self.hosts_by_id.len()
     }
 
-    /// Removes the hosts for which `is_gone` holds, with their connections, and frees their indices. Otherwise a
-    /// deployment that keeps replacing its hosts would fill the memory.
+    /// Removes the hosts for which `is_gone` holds, with their connections, and frees their indices.
+    /// Otherwise a deployment that keeps replacing its hosts would fill the memory.
     pub fn remove_gone_hosts(&mut self, mut is_gone: impl FnMut(usize) -> bool) {
-        // Collected once instead of per host: with thousands of hosts and connections the repeated scan took more
-        // time than everything else.
+        // Collected once instead of per host: with thousands of hosts and connections the repeated scan took
+        // more time than everything else.
         let in_use = self.connections.values().filter(|connection| connection.task.is_some());
         let busy: HashSet<usize> = in_use.map(|connection| connection.host).collect();
         for host in 0..self.slots.len() {
@@ -156,15 +157,15 @@
         (at < idle.len()).then(|| idle.remove(at))
     }
 
-    /// Starts a job on an idle connection, else on a new one, and returns the connection's id. `None` where all
-    /// connections that may be open are in use.
+    /// Starts a job on an idle connection, else on a new one, and returns the connection's id. `None` where
+    /// all connections that may be open are in use.
     pub fn start_job(&mut self, host: usize, task: Task, job: Job) -> Option<u64> {
         if let Some(conn_id) = self.take_idle(host) {
             let connection = self.connections.get_mut(&conn_id)?;
             connection.progress.reset();
             connection.task = Some(task);
-            // If the connection has just ended, the host loop has reported it; the task is started again when that
-            // event is handled.
+            // If the connection has just ended, the host loop has reported it; the task is started again when
+            // that event is handled.
             self.commands.send(Command::Run { conn_id, job });
             return Some(conn_id);
         }
@@ -181,8 +182,8 @@
         Some(conn_id)
     }
 
-    /// Ends a connection's task, and returns it with its host. A reusable connection becomes idle unless the host's
-    /// address has changed; any other is removed.
+    /// Ends a connection's task, and returns it with its host. A reusable connection becomes idle unless the
+    /// host's address has changed; any other is removed.
     pub fn finish_job(&mut self, conn_id: u64, is_reusable: bool) -> Option<(usize, Task)> {
         let connection = self.connections.get_mut(&conn_id)?;
         let (host, task) = (connection.host, connection.task.take()?);
@@ -197,8 +198,8 @@
         Some((host, task))
     }
 
-    /// Removes a connection that ended by itself. Returns its host and task, if it had one: nothing of that was
-    /// written.
+    /// Removes a connection that ended by itself. Returns its host and task, if it had one: nothing of that
+    /// was written.
     pub fn remove(&mut self, conn_id: u64) -> Option<(usize, Task)> {
         let connection = self.connections.remove(&conn_id)?;
         self.slots[connection.host].idle.retain(|other| *other != conn_id);
--- a/crates/router/src/probe.rs
+++ b/crates/router/src/probe.rs
@@ -36,7 +36,8 @@
         for (name, value) in text.split(',').filter_map(|part| part.split_once('=')) {
             let Some(value) = value.trim().parse().ok().filter(|v: &f64| v.is_finite()) else { continue };
             match name.trim() {
-                // Rounded down to the next lower value, so that the position is never later than the host's own.
+                // Rounded down to the next lower value, so that the position is never later than the host's
+                // own.
                 "x0" => self.report_position = Some((value.next_down() * 1000.0).next_down()),
                 "x1" if value >= 0.5 => self.report_role = Some(Role::Primary),
                 "x1" => self.report_role = Some(Role::Replica),
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -1,5 +1,5 @@
-//! The decision thread: owns the policy, the open ops and the connection pool. It handles events until its next
-//! tick, never blocks on a socket, and is the only thread that decides which answer to an op is final.
+//! The decision thread: owns the policy, the open ops and the connection pool. It handles events until its
+//! next tick, never blocks on a socket, and is the only thread that decides which answer to an op is final.
 
 use crate::answer::JobResult;
 use crate::client::Client;
@@ -74,7 +74,8 @@
 }
 
 impl RouterOutbox {
-    /// The time of the next tick: as the policy asked, and later while no op is open, as nothing is waiting then.
+    /// The time of the next tick: as the policy asked, and later while no op is open, as nothing is waiting
+    /// then.
     fn next_tick_at(&self) -> f64 {
         self.wake_at + if self.ops.is_empty() { self.shared.limits.idle_beat_ms } else { 0.0 }
     }
@@ -92,7 +93,8 @@
 
     fn start_probe(&mut self, host: usize, started_at: f64) {
         let deadline = started_at + self.shared.limits.probe_ms;
-        // No `begin_by`: a probe that could not be written by its deadline shows that the host accepts no connections.
+        // No `begin_by`: a probe that could not be written by its deadline shows that the host accepts no
+        // connections.
         let job = Job { work: Work::Probe, deadline, begin_by: f64::INFINITY };
         if self.pool.start_job(host, Task::Probe { started_at }, job).is_none() {
             self.unsent_probes.push_back(host);
@@ -130,10 +132,10 @@
         self.start_send(op, send, host);
     }
 
-    fn withdraw(&mut self, op: OpId, send: usize, cut: bool) {
+    fn withdraw(&mut self, op: OpId, send: usize, abort: bool) {
         let Some(o) = self.ops.get_mut(&op) else { return };
         let Some(conn_id) = o.sends.get(send).and_then(|s| s.conn_id) else { return };
-        if self.pool.cancel_job(conn_id, if cut { CancelScope::All } else { CancelScope::Incomplete }) {
+        if self.pool.cancel_job(conn_id, if abort { CancelScope::All } else { CancelScope::Incomplete }) {
             o.sends[send].conn_id = None;
             self.ended_sends.push_back((op, send, Ending::Withdrawn));
         }
@@ -196,8 +198,8 @@
 pub struct Router {
     policy: Policy,
     outbox: RouterOutbox,
-    /// Whether ops state when their session last wrote; otherwise the policy remembers writes itself.
-    ops_carry_last_write: bool,
+    /// Whether ops state when their session last wrote; otherwise the policy keeps track of it itself.
+    clients_report_writes: bool,
     /// Op timeouts by op type.
     timeouts_ms: Vec<f64>,
     /// The names of zones, by index.
@@ -218,8 +220,8 @@
 impl Router {
     pub fn new(
         shared: Arc<Shared>,
-        terms: PolicyOptions,
-        fields: &AdapterOptions,
+        policy_options: PolicyOptions,
+        adapter_options: &AdapterOptions,
         seed: u64,
         list_requests: Sender<()>,
         commands: CommandSender,
@@ -239,20 +241,21 @@
             counts: Counts::default(),
             unresponsive_hosts: Vec::new(),
         };
-        let bounds_ms = terms
+        let bounds_ms = policy_options
             .op_types
             .iter()
             .filter(|t| t.consistency == Consistency::Bounded)
             .map(|t| t.staleness_bound_ms);
         let observer = Observer::new(bounds_ms.reduce(f64::min));
-        let policy = Policy::new(terms, seed, now, &mut outbox);
-        let (timeouts_ms, zones) = (fields.op_timeouts_ms.clone(), fields.zone_names.clone());
-        let ops_carry_last_write = fields.clients_report_writes;
+        let policy = Policy::new(policy_options, seed, now, &mut outbox);
+        let (timeouts_ms, zones) =
+            (adapter_options.op_timeouts_ms.clone(), adapter_options.zone_names.clone());
+        let clients_report_writes = adapter_options.clients_report_writes;
         let (last_op, cleanup_at, groups) = (0, now, HashMap::new());
         Router {
             policy,
             outbox,
-            ops_carry_last_write,
+            clients_report_writes,
             timeouts_ms,
             zones,
             observer,
@@ -265,8 +268,8 @@
         }
     }
 
-    /// Applies a response of the host list that has been validated. `is_saved`: it is the last known list from the
-    /// configuration and may be old.
+    /// Applies a response of the host list that has been validated. `is_saved`: it is the last known list
+    /// from the configuration and may be old.
     pub fn apply_host_list(&mut self, response: &Value, is_saved: bool) {
         let now = self.outbox.shared.clock.now();
         let (policy, pool) = (&mut self.policy, &mut self.outbox.pool);
@@ -309,7 +312,8 @@
                 Ok(event) => {
                     self.receive_list_responses(list_responses);
                     self.handle_event(event);
-                    // Events queued meanwhile are handled in one batch, limited so that the tick isn't delayed for long.
+                    // Events queued meanwhile are handled in one batch, limited so that the tick isn't
+                    // delayed for long.
                     for _ in 1..self.outbox.shared.limits.events {
                         match events.try_recv() {
                             Ok(Event::Stop) => return self.log_figures(true),
@@ -415,7 +419,8 @@
                 let abandoned = outbox.ops.iter().filter(|(_, o)| o.client.id == client && !o.is_answered);
                 let mut abandoned: Vec<OpId> = abandoned.map(|(id, _)| *id).collect();
                 abandoned.sort_unstable();
-                // All are marked before the policy acts, else capacity freed by one would go to another of them.
+                // All are marked before the policy acts, else capacity freed by one would go to another of
+                // them.
                 for id in &abandoned {
                     let op = self.outbox.ops.get_mut(id).expect("found above");
                     op.is_answered = true;
@@ -478,7 +483,7 @@
     fn submit_op(&mut self, now: f64, id: OpId, group: usize, remaining_ms: f64, facts: &OpFacts) {
         // Ops state the time of the commit; the policy takes its age.
         let age = |after: f64| (now - after).max(0.001);
-        let last_write_age = self.ops_carry_last_write.then(|| facts.after.map_or(0.0, age));
+        let last_write_age = self.clients_report_writes.then(|| facts.after.map_or(0.0, age));
         let op = OpRequest {
             id,
             op_type: facts.op_type,
@@ -518,8 +523,8 @@
     }
 
     fn report_host_status(&mut self, now: f64, host: usize, status: &HostStatus) {
-        // A commit's time is rounded up to a whole ms, so it may lie slightly ahead of the clock. The policy would
-        // reject such a position, so it gets the position's time as the present.
+        // A commit's time is rounded up to a whole ms, so it may lie slightly ahead of the clock. The policy
+        // would reject such a position, so it gets the position's time as the present.
         let ahead = status.position.filter(|position| *position < now + self.outbox.shared.limits.ahead_ms);
         let now = ahead.map_or(now, |position| now.max(position));
         if status.role.is_some() || status.position.is_some() {
@@ -536,8 +541,8 @@
         self.outbox.remove_if_finished(op);
     }
 
-    /// Reports unresponsive hosts to peers, and to the policy all sends and probes that ended within the router,
-    /// until its reactions cause no more of them.
+    /// Reports unresponsive hosts to peers, and to the policy all sends and probes that ended within the
+    /// router, until its reactions cause no more of them.
     fn report_local_endings(&mut self) {
         for host in std::mem::take(&mut self.outbox.unresponsive_hosts) {
             if let Some(observations) = &self.observations {
--- a/crates/router/src/route/tests.rs
+++ b/crates/router/src/route/tests.rs
@@ -2,8 +2,8 @@
 use crate::op_facts::OpFactsParser;
 use crate::shared::test_shared;
 
-/// Guards against sending ops of a client that has disconnected: the ops are queued ahead of the event that reports
-/// it.
+/// Guards against sending ops of a client that has disconnected: the ops are queued ahead of the event that
+/// reports it.
 #[test]
 fn an_op_whose_client_disconnected_while_it_was_queued_is_dropped() {
     let start = String::from_utf8(crate::limits::MINIMAL_CONFIGURATION.to_vec()).unwrap();
--- a/crates/router/src/send.rs
+++ b/crates/router/src/send.rs
@@ -1,5 +1,6 @@
-//! Connections to hosts, one job at a time each: connects, writes the job and reads until the answer is complete,
-//! without blocking. The host loop (`host_loop.rs`) calls it when the socket is ready or its deadline has passed.
+//! Connections to hosts, one job at a time each: connects, writes the job and reads until the answer is
+//! complete, without blocking. The host loop (`host_loop.rs`) calls it when the socket is ready or its
+//! deadline has passed.
 
 use crate::answer::{AnswerReader, JobResult, without_answer};
 use crate::event::Statement;
@@ -30,8 +31,8 @@
     Probe,
 }
 
-/// How much of a connection's job has been written. Shared by the decision thread, which cancels jobs, and the host
-/// loop, which writes them.
+/// How much of a connection's job has been written. Shared by the decision thread, which cancels jobs, and
+/// the host loop, which writes them.
 #[derive(Default)]
 pub struct JobProgress(Mutex<Progress>);
 
@@ -61,11 +62,11 @@
 /// The outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// Nothing of the job was or will be written. If its connection is still being opened, that continues, for the
-    /// next job.
+    /// Nothing of the job was or will be written. If its connection is still being opened, that continues,
+    /// for the next job.
     NeverWritten,
-    /// The connection is shut down. The host loop still reports how the job ended, which may be by an answer that
-    /// was received before.
+    /// The connection is shut down. The host loop still reports how the job ended, which may be by an answer
+    /// that was received before.
     ShutDown,
     /// The job is out of scope and continues.
     Continues,
@@ -105,9 +106,9 @@
         matches!(*self.lock(), Progress::Cancelled)
     }
 
-    /// Writes without blocking and records the progress; `None` where the job has been cancelled. Both happen under
-    /// one lock: a cancellation between them would shut the connection down in a way that looks like a fault of
-    /// the host.
+    /// Writes without blocking and records the progress; `None` where the job has been cancelled. Both happen
+    /// under one lock: a cancellation between them would shut the connection down in a way that looks like a
+    /// fault of the host.
     fn write(&self, stream: &Arc<TcpStream>, parts: &[&[u8]]) -> Option<std::io::Result<usize>> {
         let mut progress = self.lock();
         if matches!(*progress, Progress::Cancelled) {
@@ -154,8 +155,8 @@
     unsent: Vec<u8>,
     /// Bytes received that don't make up a whole message yet.
     buf: Vec<u8>,
-    /// Bytes received for this job. They are limited, as an endless answer would otherwise occupy the loop or use up
-    /// the op's whole time.
+    /// Bytes received for this job. They are limited, as an endless answer would otherwise occupy the loop or
+    /// use up the op's whole time.
     received_bytes: usize,
     /// The deadline of the current phase.
     due: f64,
@@ -199,15 +200,16 @@
 
     /// Starts the next job.
     pub fn start(&mut self, job: Job) -> Step {
-        // If the host has closed the connection or sent unexpected bytes meanwhile, nothing may be written to it.
+        // If the host has closed the connection or sent unexpected bytes meanwhile, nothing may be written to
+        // it.
         if !matches!(self.phase, Phase::Idle) || is_stale(&self.stream) {
             return Step::Closed;
         }
         self.write_job(job)
     }
 
-    /// The socket is ready. `writable`: it accepts bytes, or connecting failed; `read_closed`: the host has closed
-    /// its side.
+    /// The socket is ready. `writable`: it accepts bytes, or connecting failed; `read_closed`: the host has
+    /// closed its side.
     pub fn on_ready(&mut self, writable: bool, read_closed: bool, scratch: &mut [u8]) -> Step {
         match std::mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Idle => {
@@ -246,8 +248,8 @@
         match std::mem::replace(&mut self.phase, Phase::Idle) {
             // The host is about to close it.
             Phase::Idle => Step::Closed,
-            // Connecting took longer than the op's repeat window or the allowed age of the host's data: not the
-            // host's fault.
+            // Connecting took longer than the op's repeat window or the allowed age of the host's data: not
+            // the host's fault.
             Phase::Connecting(job) if self.shared.clock.now() >= job.begin_by => {
                 done(without_answer(Ending::Unsent))
             }
@@ -380,8 +382,8 @@
 
     fn result(&self, job: &Job, reader: AnswerReader, read_end: Option<Ending>) -> JobResult {
         let read_end = match read_end {
-            // This router shut the connection down. Counted as the host's doing, each withdrawn op would make its
-            // host look dead.
+            // This router shut the connection down. Counted as the host's doing, each withdrawn op would make
+            // its host look dead.
             Some(Ending::Reset) if self.progress.is_cancelled() => Some(Ending::Withdrawn),
             other => other,
         };
@@ -417,8 +419,8 @@
     let mut at = 0;
     while !reader.is_done() {
         let buf = &buf[at..];
-        // An invalid message is detected by its first bytes: waiting for the rest would cost the op all of its
-        // time.
+        // An invalid message is detected by its first bytes: waiting for the rest would cost the op all of
+        // its time.
         let rest = buf.get(5..).unwrap_or_default();
         let is_valid = frame::length_at(buf, 1).is_none_or(|length| {
             validate::is_valid_prefix(buf[0], length, &rest[..rest.len().min(length.saturating_sub(4))])
--- a/crates/router/src/send/tests.rs
+++ b/crates/router/src/send/tests.rs
@@ -31,7 +31,8 @@
     }
 }
 
-/// Guards against a send on a connection that opened late, after hosts have stopped recognising repeats of the op.
+/// Guards against a send on a connection that opened late, after hosts have stopped recognising repeats of
+/// the op.
 #[test]
 fn a_job_past_begin_by_when_its_connection_opens_is_not_written() {
     let shared = test_shared();
@@ -64,8 +65,8 @@
     }
 }
 
-/// Guards against a cancellation between recording that a job is written and writing it: the job then ended as if
-/// the host could not be reached.
+/// Guards against a cancellation between recording that a job is written and writing it: the job then ended
+/// as if the host could not be reached.
 #[test]
 fn a_cancellation_respects_its_scope_and_reports_its_outcome() {
     use CancelScope::*;
--- a/crates/router/src/tier.rs
+++ b/crates/router/src/tier.rs
@@ -1,6 +1,6 @@
-//! The peer thread: exchanges datagrams with the other routers of the tier. Its inputs are a socket, a timer and the
-//! observations of the decision thread. The protocol is in `magpiewell_tier`, which decides what to send and which
-//! events to report.
+//! The peer thread: exchanges datagrams with the other routers of the tier. Its inputs are a socket, a timer
+//! and the observations of the decision thread. The protocol is in `magpiewell_tier`, which decides what to
+//! send and which events to report.
 
 use crate::event::Event;
 use crate::shared::Shared;
@@ -22,7 +22,7 @@
 const WAKE: Token = Token(1);
 /// How often per probe period missing primaries are requested while primaries are changing.
 const PULLS_PER_PROBE_PERIOD: f64 = 2.0;
-/// The time-out of an ack is the probe period divided by this.
+/// The timeout of an ack is the probe period divided by this.
 const ACK_TIMEOUTS_PER_PROBE_PERIOD: f64 = 5.0;
 /// A tick that is late by this many ticks shows that the process was paused.
 const PAUSE_THRESHOLD_TICKS: f64 = 4.0;
@@ -67,10 +67,10 @@
 pub fn new(
     shared: &Arc<Shared>,
     events: Sender<Event>,
-    start: &StartupOptions,
-    terms: &TierOptions,
+    startup: &StartupOptions,
+    options: &TierOptions,
 ) -> Result<Option<(PeerLoop, ObservationSender)>, String> {
-    let Some(roster) = start.roster.clone()? else { return Ok(None) };
+    let Some(roster) = startup.roster.clone()? else { return Ok(None) };
     let listen = roster.listen_addr;
     let open = || {
         let poll = Poll::new()?;
@@ -82,12 +82,12 @@
     let opened = open().map_err(|e: std::io::Error| format!("cannot listen for peers at {listen}: {e}"));
     let (poll, socket, waker) = opened?;
     let (sender, observations) = crossbeam_channel::bounded(shared.limits.max_observations);
-    let limits = limits(terms, shared.limits.peers_tick);
-    let zone = u8::try_from(start.terms.zone).ok();
+    let limits = limits(options, shared.limits.peers_tick);
+    let zone = u8::try_from(startup.terms.zone).ok();
     let started = shared.clock.now().max(0.0) as u64;
-    let key = terms.key.as_deref().map(Key::new);
+    let key = options.key.as_deref().map(Key::new);
     let identity = Identity { local: roster.local, roster_size: roster.addrs.len(), zone, started };
-    let tier = Tier::new(identity, start.seed, key, limits).map_err(|e| format!("'peers': {e}"))?;
+    let tier = Tier::new(identity, startup.seed, key, limits).map_err(|e| format!("'peers': {e}"))?;
     let member_ids = roster.addrs.iter().copied().zip(0..).collect();
     let (shared, peers) = (shared.clone(), roster.addrs);
     let dropped = Dropped::default();
@@ -108,19 +108,19 @@
 }
 
 /// The limits of a tier with these settings and this tick.
-pub fn limits(terms: &TierOptions, tick: Duration) -> Limits {
+pub fn limits(options: &TierOptions, tick: Duration) -> Limits {
     let mut limits = Limits {
-        fanout: terms.fanout,
-        urgent_burst: terms.urgent_burst,
-        urgent_per_second: terms.urgent_per_second,
-        unresponsive_quorum: terms.unresponsive_quorum,
-        zone_evidence: terms.zone_evidence,
-        pull_facts: terms.pull_facts,
-        pull_period: terms.probe_period_ms / PULLS_PER_PROBE_PERIOD,
+        fanout: options.fanout,
+        urgent_burst: options.urgent_burst,
+        urgent_per_second: options.urgent_per_second,
+        unresponsive_quorum: options.unresponsive_quorum,
+        zone_evidence: options.zone_evidence,
+        pull_facts: options.pull_facts,
+        pull_period: options.probe_period_ms / PULLS_PER_PROBE_PERIOD,
         ..Limits::default()
     };
-    limits.members.probe_period = terms.probe_period_ms;
-    limits.members.ack_timeout = terms.probe_period_ms / ACK_TIMEOUTS_PER_PROBE_PERIOD;
+    limits.members.probe_period = options.probe_period_ms;
+    limits.members.ack_timeout = options.probe_period_ms / ACK_TIMEOUTS_PER_PROBE_PERIOD;
     limits.members.pause_threshold = tick.as_secs_f64() * 1_000.0 * PAUSE_THRESHOLD_TICKS;
     limits
 }
