--- a/crates/pg/src/validate.rs
+++ b/crates/pg/src/validate.rs
@@ -1,64 +1,74 @@
-//! What makes a host's message acceptable: its kind, its length, and how its body is built. A stream that breaks
-//! this once can't be trusted any further, so all that the bytes at hand can show is looked at as they come.
+//! Validates messages from hosts: kind, length and layout of the body. Once a stream has broken these rules,
+//! nothing that follows in it can be trusted, so all that the received bytes can show is checked as they
+//! arrive.
 
 use crate::frame;
 
-/// Longest row description, completion, and word a host says of itself (errors, notices, parameters).
-const DESCRIPTION: usize = 256;
-const COMPLETION: usize = 64;
-const WORD: usize = 8 * 1024;
-/// A value that is none: the length it states, and that of its row.
-const NULL: (usize, usize) = (u32::MAX as usize, 10);
+/// Longest accepted RowDescription.
+const MAX_ROW_DESCRIPTION_BYTES: usize = 256;
+/// Longest accepted CommandComplete.
+const MAX_COMPLETION_BYTES: usize = 64;
+/// Longest accepted ErrorResponse, NoticeResponse, ParameterStatus and NegotiateProtocolVersion.
+const MAX_TEXT_MESSAGE_BYTES: usize = 8 * 1024;
+/// A null column: its stated length of -1, and the length of the row that holds nothing else.
+const NULL_COLUMN: (usize, usize) = (u32::MAX as usize, 10);
 
-/// Whether a host's message can have this kind.
+/// Whether hosts send messages of this kind.
 pub fn is_known_kind(kind: u8) -> bool {
     b"ZRKTDCENSv".contains(&kind)
 }
 
-/// Whether a message may begin like this: its length as stated, and as much of its body as is there.
+/// Whether a valid message may begin with these bytes: `length` as stated in the message, and as much of the
+/// body as has arrived.
 pub fn is_valid_prefix(kind: u8, length: usize, body: &[u8]) -> bool {
-    let fits = match kind {
+    let length_fits = match kind {
         b'Z' => length == 5,
         b'R' => length == 8,
         b'K' => length == 12,
-        b'T' => (25..=DESCRIPTION).contains(&length),
+        b'T' => (25..=MAX_ROW_DESCRIPTION_BYTES).contains(&length),
         b'D' => length >= 10,
-        b'C' => (5..=COMPLETION).contains(&length),
-        b'E' | b'N' | b'S' | b'v' => (5..=WORD).contains(&length),
+        b'C' => (5..=MAX_COMPLETION_BYTES).contains(&length),
+        b'E' | b'N' | b'S' | b'v' => (5..=MAX_TEXT_MESSAGE_BYTES).contains(&length),
         _ => false,
     };
-    let one_column = || frame::column_count(body).is_none_or(|columns| columns == 1);
-    fits && match kind {
-        // The one value takes up all of its row, or there is none.
-        b'D' => {
-            one_column() && frame::length_at(body, 2).is_none_or(|n| n == length - 10 || (n, length) == NULL)
+    let has_one_column = || frame::column_count(body).is_none_or(|columns| columns == 1);
+    length_fits
+        && match kind {
+            // The only column fills the rest of the row, or is null.
+            b'D' => {
+                has_one_column()
+                    && frame::length_at(body, 2)
+                        .is_none_or(|column| column == length - 10 || (column, length) == NULL_COLUMN)
+            }
+            // The column's name and the 18 bytes of its other fields fill the rest of the description.
+            b'T' => {
+                has_one_column() && frame::c_string(body, 2).is_none_or(|(_, end)| length == 4 + end + 18)
+            }
+            _ => true,
         }
-        // The name and the 18 bytes behind it take up all of the description.
-        b'T' => one_column() && frame::c_string(body, 2).is_none_or(|(_, end)| length == 4 + end + 18),
-        _ => true,
-    }
 }
 
-/// A parameter's name and value.
+/// The name and value of a ParameterStatus.
 pub fn parameter_status(body: &[u8]) -> Option<(&[u8], &[u8])> {
-    let (name, at) = frame::c_string(body, 0)?;
-    let (value, end) = frame::c_string(body, at)?;
+    let (name, value_start) = frame::c_string(body, 0)?;
+    let (value, end) = frame::c_string(body, value_start)?;
     (end == body.len()).then_some((name, value))
 }
 
-/// The code of an error that is built as errors are: text behind each letter, severity, code and line among them.
+/// The SQLSTATE of a well-formed ErrorResponse: all fields are terminated, severity and message are present,
+/// and the code is five digits or capital letters.
 pub fn sqlstate(body: &[u8]) -> Option<&[u8]> {
-    let mut at = 0;
-    while *body.get(at)? != 0 {
-        at = frame::c_string(body, at + 1)?.1;
+    let mut offset = 0;
+    while *body.get(offset)? != 0 {
+        offset = frame::c_string(body, offset + 1)?.1;
     }
     let code = frame::error_field(body, b'C')?;
-    let plain = code.len() == 5 && code.iter().all(|c| c.is_ascii_digit() || c.is_ascii_uppercase());
-    let named = frame::error_field(body, b'S').is_some() && frame::error_field(body, b'M').is_some();
-    (at + 1 == body.len() && plain && named).then_some(code)
+    let is_code = code.len() == 5 && code.iter().all(|c| c.is_ascii_digit() || c.is_ascii_uppercase());
+    let is_complete = frame::error_field(body, b'S').is_some() && frame::error_field(body, b'M').is_some();
+    (offset + 1 == body.len() && is_code && is_complete).then_some(code)
 }
 
-/// Whether a completion says just this.
+/// Whether the body of a CommandComplete holds exactly this tag.
 pub fn is_completion(body: &[u8], tag: &[u8]) -> bool {
     body.strip_suffix(&[0]) == Some(tag)
 }
