--- a/crates/pg/tests/framing.rs
+++ b/crates/pg/tests/framing.rs
@@ -52,7 +52,9 @@
     }
 
     #[test]
-    fn any_bytes_are_framed_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..60), offset in 0..70usize) {
+    fn any_bytes_are_framed_without_a_panic(
+        bytes in prop::collection::vec(any::<u8>(), 0..60), offset in 0..70usize,
+    ) {
         let _ = frame::message(&bytes, 40);
         let _ = frame::startup(&bytes, 40);
         let _ = frame::c_string(&bytes, offset);
@@ -87,7 +89,9 @@
     }
 
     #[test]
-    fn any_statement_is_parsed_without_a_panic(text in "(SELECT v FROM |INSERT )?[a-z'\"/*;=,\\- \n\u{e9}]{0,40}") {
+    fn any_statement_is_parsed_without_a_panic(
+        text in "(SELECT v FROM |INSERT )?[a-z'\"/*;=,\\- \n\u{e9}]{0,40}",
+    ) {
         if let Ok(statement) = statement::parse(&text) {
             prop_assert!(text.get(statement.key).is_some());
         }
@@ -99,23 +103,24 @@
     #[test]
     fn key_and_attributes_are_found_whatever_the_key_contains(
         key in "[a-z/*;\\-'=,\"\u{e9}]{0,20}",
-        timeout in 0..100_000u32,
+        left_ms in 0..100_000u32,
         spaces in " {0,2}",
         writes in any::<bool>(),
     ) {
         let quoted = key.replace('\'', "''");
-        let (before, after) = if writes {
+        let (before, tail) = if writes {
             ("insert into r(k,v)VALUES(", ", 'x''y') returning v")
         } else {
             ("SELECT v FROM r WHERE k =", "")
         };
-        let text = format!("{before}{spaces}'{quoted}'{after}{spaces}/* id=1,d={spaces}{timeout},c=x */{spaces};");
+        let text =
+            format!("{before}{spaces}'{quoted}'{tail}{spaces}/* id=1,d={spaces}{left_ms},c=x */{spaces};");
         let statement = statement::parse(&text).unwrap();
         prop_assert_eq!(&text[statement.key], quoted);
         prop_assert_eq!(statement.writes, writes);
         let attributes: Vec<_> = statement::attributes(&text, statement.comment).collect();
         prop_assert_eq!(attributes[1].0, "d");
-        prop_assert_eq!(&text[attributes[1].1.clone()], timeout.to_string());
+        prop_assert_eq!(&text[attributes[1].1.clone()], left_ms.to_string());
         prop_assert_eq!(attributes.len(), 3);
     }
 
