--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -36,40 +36,40 @@
 impl Outbox for Actions<'_> {
     /// Here a send leaves at once.
     fn send(&mut self, op: OpId, host: usize, _begin_by: f64) {
-        self.reply.add(action::ROUTE, self.router, &[&op.to_le_bytes(), &self.door.address[host]]);
+        self.reply.push(action::ROUTE, self.router, &[&op.to_le_bytes(), &self.door.address[host]]);
     }
 
     fn withdraw(&mut self, op: OpId, send: usize, cut: bool) {
         if !cut {
             return;
         }
-        self.reply.add(action::WITHDRAW, self.router, &[&op.to_le_bytes(), &[send as u8]]);
+        self.reply.push(action::WITHDRAW, self.router, &[&op.to_le_bytes(), &[send as u8]]);
     }
 
     fn busy_reply(&mut self, op: OpId, retry_ms: f64) {
         let retry = (retry_ms / 1000.0).to_le_bytes();
-        self.reply.add(action::DECLINE, self.router, &[&op.to_le_bytes(), &retry]);
+        self.reply.push(action::DECLINE, self.router, &[&op.to_le_bytes(), &retry]);
     }
 
     fn error_reply(&mut self, op: OpId) {
-        self.reply.add(action::REPORT_FAILURE, self.router, &[&op.to_le_bytes()]);
+        self.reply.push(action::REPORT_FAILURE, self.router, &[&op.to_le_bytes()]);
     }
 
     fn probe(&mut self, host: usize) {
-        self.reply.add(action::TOUCH, self.router, &[&self.door.address[host]]);
+        self.reply.push(action::TOUCH, self.router, &[&self.door.address[host]]);
     }
 
     fn close_idle_connections(&mut self, host: usize) {
-        self.reply.add(action::SHUT_IDLE, self.router, &[&self.door.address[host]]);
+        self.reply.push(action::SHUT_IDLE, self.router, &[&self.door.address[host]]);
     }
 
     fn watch_host_list(&mut self) {
-        self.reply.add(action::KEEP_INFORMED, self.router, &[&[1]]);
+        self.reply.push(action::KEEP_INFORMED, self.router, &[&[1]]);
     }
 
     fn wake_after(&mut self, in_ms: f64) {
         let delay = (in_ms / 1000.0).to_le_bytes();
-        self.reply.add(action::WAKE_AT, self.router, &[&delay, &[0; 8]]);
+        self.reply.push(action::WAKE_AT, self.router, &[&delay, &[0; 8]]);
     }
 
     fn log(&mut self, line: &str) {
@@ -113,7 +113,7 @@
     }
 
     /// Takes one event; a panic of the module becomes this instance's failure alone.
-    pub fn take(
+    pub fn handle_event(
         &mut self,
         now: f64,
         record: &[u8],
@@ -170,7 +170,7 @@
             return self.policy.list_failed(now);
         }
         self.policy.list_started(how != 0, how == 2);
-        for entry in page.chunks_exact(wire::ENTRY) {
+        for entry in page.chunks_exact(wire::ENTRY_BYTES) {
             let host = self.door.enter(wire::host_at(entry, 0));
             let phase = match entry[16] {
                 0 => HostState::Ready,
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,11 +1,15 @@
-//! Frames, fields and codes of the simulator's wire.
+//! Frames, fields and codes of the simulator's wire format. Numbers are little-endian.
 
 use std::io::Write;
 
-pub const EVENT: usize = 56;
-pub const ACTION: usize = 32;
-pub const ENTRY: usize = 29;
+/// Size of an event record.
+pub const EVENT_BYTES: usize = 56;
+/// Size of an action record.
+pub const ACTION_BYTES: usize = 32;
+/// Size of an entry of a host list.
+pub const ENTRY_BYTES: usize = 29;
 
+/// Codes of the events that the simulator sends.
 pub mod event {
     pub const SUBMIT: u8 = 16;
     pub const HEADERS: u8 = 17;
@@ -22,6 +26,7 @@
     pub const LAST: u8 = ABANDONED;
 }
 
+/// Codes of the actions that the adapter replies with.
 pub mod action {
     pub const ROUTE: u8 = 16;
     pub const DECLINE: u8 = 17;
@@ -35,37 +40,38 @@
     pub const KEEP_INFORMED: u8 = 26;
 }
 
-fn bytes<const N: usize>(from: &[u8], at: usize) -> [u8; N] {
-    from[at..at + N].try_into().expect("N bytes")
+fn bytes_at<const N: usize>(from: &[u8], offset: usize) -> [u8; N] {
+    from[offset..offset + N].try_into().expect("N bytes")
 }
 
-pub fn u16_at(from: &[u8], at: usize) -> u16 {
-    u16::from_le_bytes(bytes(from, at))
+pub fn u16_at(from: &[u8], offset: usize) -> u16 {
+    u16::from_le_bytes(bytes_at(from, offset))
 }
 
-pub fn u32_at(from: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes(bytes(from, at))
+pub fn u32_at(from: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes(bytes_at(from, offset))
 }
 
-pub fn u64_at(from: &[u8], at: usize) -> u64 {
-    u64::from_le_bytes(bytes(from, at))
+pub fn u64_at(from: &[u8], offset: usize) -> u64 {
+    u64::from_le_bytes(bytes_at(from, offset))
 }
 
-pub fn f32_at(from: &[u8], at: usize) -> f32 {
-    f32::from_le_bytes(bytes(from, at))
+pub fn f32_at(from: &[u8], offset: usize) -> f32 {
+    f32::from_le_bytes(bytes_at(from, offset))
 }
 
-pub fn f64_at(from: &[u8], at: usize) -> f64 {
-    f64::from_le_bytes(bytes(from, at))
+pub fn f64_at(from: &[u8], offset: usize) -> f64 {
+    f64::from_le_bytes(bytes_at(from, offset))
 }
 
-/// A host's address and port, as they stand on the wire.
-pub fn host_at(from: &[u8], at: usize) -> [u8; 6] {
-    bytes(from, at)
+/// A host's address and port, in their encoded form.
+pub fn host_at(from: &[u8], offset: usize) -> [u8; 6] {
+    bytes_at(from, offset)
 }
 
-/// One batch.
+/// A batch of event records, followed by a tail that the records refer to.
 pub struct Frame {
+    /// The simulator's clock, in seconds.
     pub clock: f64,
     count: usize,
     body: Vec<u8>,
@@ -74,37 +80,40 @@
 impl Frame {
     pub fn new(header: &[u8; 16], body: Vec<u8>) -> Result<Frame, String> {
         let count = u32_at(header, 4) as usize;
-        if count.checked_mul(EVENT).is_none_or(|size| size > body.len()) {
+        if count.checked_mul(EVENT_BYTES).is_none_or(|size| size > body.len()) {
             return Err(format!("{count} records do not fit into {} bytes", body.len()));
         }
         Ok(Frame { clock: f64_at(header, 8), count, body })
     }
 
     pub fn records(&self) -> impl Iterator<Item = &[u8]> {
-        self.body[..self.count * EVENT].chunks_exact(EVENT)
+        self.body[..self.count * EVENT_BYTES].chunks_exact(EVENT_BYTES)
     }
 
     pub fn tail(&self) -> &[u8] {
-        &self.body[self.count * EVENT..]
+        &self.body[self.count * EVENT_BYTES..]
     }
 }
 
-/// The part of a frame behind its records.
+/// The part of a frame after its records.
 pub struct Tail<'a>(pub &'a [u8]);
 
 impl<'a> Tail<'a> {
-    /// What the field at `at` refers to: its offset, and how many things of `size` bytes.
-    pub fn part(&self, record: &[u8], at: usize, size: usize) -> Result<&'a [u8], String> {
-        let (start, count) = (u32_at(record, at) as usize, u32_at(record, at + 4) as usize);
-        let end = count.checked_mul(size).and_then(|length| start.checked_add(length));
+    /// The part of the tail that a record's field refers to. The field, at `offset`, holds the start of the
+    /// part and a count of items of `item_size` bytes.
+    pub fn part(&self, record: &[u8], offset: usize, item_size: usize) -> Result<&'a [u8], String> {
+        let (start, count) = (u32_at(record, offset) as usize, u32_at(record, offset + 4) as usize);
+        let end = count.checked_mul(item_size).and_then(|length| start.checked_add(length));
         match end {
             Some(end) if end <= self.0.len() => Ok(&self.0[start..end]),
-            _ => Err(format!("tail reference {start}+{count}x{size} lies beyond {} bytes", self.0.len())),
+            _ => {
+                Err(format!("tail reference {start}+{count}x{item_size} lies beyond {} bytes", self.0.len()))
+            }
         }
     }
 }
 
-/// One reply, built record by record.
+/// The reply to one frame: action records and the texts that they refer to.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -117,36 +126,39 @@
         self.tail.clear();
     }
 
-    /// Adds a record: its code, the instance, then the fields in order.
-    pub fn add(&mut self, code: u8, router: u32, fields: &[&[u8]]) {
+    /// Appends a record: its code, the router instance, then the fields in order, padded with zeros.
+    pub fn push(&mut self, code: u8, router: u32, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code);
         self.records.extend_from_slice(&router.to_le_bytes());
         for field in fields {
             self.records.extend_from_slice(field);
         }
-        debug_assert!(self.records.len() <= start + ACTION);
-        self.records.resize(start + ACTION, 0);
+        debug_assert!(self.records.len() <= start + ACTION_BYTES);
+        self.records.resize(start + ACTION_BYTES, 0);
     }
 
-    fn add_text(&mut self, code: u8, router: u32, text: &str) {
+    fn push_text(&mut self, code: u8, router: u32, text: &str) {
         let start = (self.tail.len() as u32).to_le_bytes();
         self.tail.extend_from_slice(text.as_bytes());
-        self.add(code, router, &[&start, &(text.len() as u32).to_le_bytes()]);
+        self.push(code, router, &[&start, &(text.len() as u32).to_le_bytes()]);
     }
 
+    /// Records a log line of the instance.
     pub fn log(&mut self, router: u32, text: &str) {
-        self.add_text(action::RECORD, router, text);
+        self.push_text(action::RECORD, router, text);
     }
 
-    pub fn die(&mut self, router: u32, text: &str) {
-        self.add_text(action::DIE, router, text);
+    /// Reports that the instance has failed, and why.
+    pub fn fail(&mut self, router: u32, reason: &str) {
+        self.push_text(action::DIE, router, reason);
     }
 
-    pub fn write(&self, to: &mut impl Write) -> std::io::Result<()> {
-        to.write_all(&((self.records.len() + self.tail.len()) as u32).to_le_bytes())?;
-        to.write_all(&((self.records.len() / ACTION) as u32).to_le_bytes())?;
-        to.write_all(&self.records)?;
-        to.write_all(&self.tail)
+    /// Writes the length of records and tail, the number of records, the records and the tail.
+    pub fn write_to(&self, output: &mut impl Write) -> std::io::Result<()> {
+        output.write_all(&((self.records.len() + self.tail.len()) as u32).to_le_bytes())?;
+        output.write_all(&((self.records.len() / ACTION_BYTES) as u32).to_le_bytes())?;
+        output.write_all(&self.records)?;
+        output.write_all(&self.tail)
     }
 }
--- a/crates/terms/src/settings.rs
+++ b/crates/terms/src/settings.rs
@@ -1,6 +1,6 @@
 //! Reads the settings that tell what a deployment allows and asks.
 
-use crate::{at, in_ms, may, may_ms, ms, need};
+use crate::{lookup, optional, optional_ms, required, required_ms, seconds_to_ms};
 use magpiewell::{Consistency, OpTypeSpec, PolicyOptions, Retryability};
 use serde_json::Value;
 
@@ -40,27 +40,28 @@
         Some("any") => Consistency::Any,
         _ => return Err("settings key 'extra.read_level' has an unknown level".into()),
     };
-    let repeat = match need(class, "effect", Value::as_str).map_err(name)? {
+    let repeat = match required(class, "effect", Value::as_str).map_err(name)? {
         "free" => Retryability::Retryable,
         "guarded" => Retryability::Tokened {
-            window_ms: ms(class, "window_s").map_err(name)?,
-            anywhere: may(class, "group", Value::as_str, "cell").map_err(name)? == "all",
+            window_ms: required_ms(class, "window_s").map_err(name)?,
+            anywhere: optional(class, "group", Value::as_str, "cell").map_err(name)? == "all",
         },
         "single_shot" => Retryability::NonRetryable,
         other => return Err(format!("settings key 'effect' says '{other}'")),
     };
     // Where no bound applies, what stands there says nothing.
-    let bound_ms = if level == Consistency::Bounded { in_ms("extra.staleness_bound_s", bound)? } else { 0.0 };
+    let bound_ms =
+        if level == Consistency::Bounded { seconds_to_ms("extra.staleness_bound_s", bound)? } else { 0.0 };
     let facts = OpTypeSpec {
         consistency: level,
         retryability: repeat,
         staleness_bound_ms: bound_ms,
-        latency_target_ms: ms(class, "goal_time_s").map_err(name)?,
-        value: need(class, "value", Value::as_f64).map_err(name)?,
-        late_value: may(class, "late_worth", Value::as_f64, 0.0).map_err(name)?,
+        latency_target_ms: required_ms(class, "goal_time_s").map_err(name)?,
+        value: required(class, "value", Value::as_f64).map_err(name)?,
+        late_value: optional(class, "late_worth", Value::as_f64, 0.0).map_err(name)?,
     };
-    let stretch = may(class, "aim_stretch", Value::as_f64, 0.0).map_err(name)?;
-    Ok((facts, stretch, ms(class, "deadline_s").map_err(name)?))
+    let stretch = optional(class, "aim_stretch", Value::as_f64, 0.0).map_err(name)?;
+    Ok((facts, stretch, required_ms(class, "deadline_s").map_err(name)?))
 }
 
 /// Reads them from text.
@@ -71,9 +72,9 @@
 
 /// Reads them where they stand inside something larger.
 pub fn parse_value(root: &Value) -> Result<(PolicyOptions, AdapterOptions), String> {
-    let classes = need(root, "classes", Value::as_array)?;
-    let levels = need(root, "extra.read_level", Value::as_array)?;
-    let bounds = need(root, "extra.staleness_bound_s", Value::as_array)?;
+    let classes = required(root, "classes", Value::as_array)?;
+    let levels = required(root, "extra.read_level", Value::as_array)?;
+    let bounds = required(root, "extra.staleness_bound_s", Value::as_array)?;
     if levels.len() != classes.len() || bounds.len() != classes.len() {
         return Err(
             "settings keys 'extra.read_level', 'extra.staleness_bound_s' don't match 'classes'".into()
@@ -87,54 +88,55 @@
         target_growth.push(growth);
         op_timeouts_ms.push(timeout);
     }
-    let name = |value: &Value| may(value, "name", Value::as_str, "").map(str::to_string);
+    let name = |value: &Value| optional(value, "name", Value::as_str, "").map(str::to_string);
     let op_type_names = classes.iter().map(name).collect::<Result<_, _>>()?;
     let (mut tenant_rates, mut tenant_names) = (Vec::new(), Vec::new());
     let none = Vec::new();
-    for tenant in may(root, "tenants", Value::as_array, &none)? {
-        tenant_rates.push(need(tenant, "quota_rps", Value::as_f64)?);
+    for tenant in optional(root, "tenants", Value::as_array, &none)? {
+        tenant_rates.push(required(tenant, "quota_rps", Value::as_f64)?);
         tenant_names.push(name(tenant)?);
     }
-    let zones = may(root, "areas", Value::as_array, &none)?.iter();
+    let zones = optional(root, "areas", Value::as_array, &none)?.iter();
     let zone_names: Vec<String> = zones
         .map(|zone| zone.as_str().map(str::to_string).ok_or("settings key 'areas' has the wrong type"))
         .collect::<Result<_, _>>()?;
-    let zone = may(root, "az", Value::as_u64, u64::MAX)?;
-    let asks = need(root, "discovery", Value::as_str)? == "subscribe";
-    let retry_after = may(root, "limits.retry_after", Value::as_bool, false)?;
+    let zone = optional(root, "az", Value::as_u64, u64::MAX)?;
+    let asks = required(root, "discovery", Value::as_str)? == "subscribe";
+    let retry_after = optional(root, "limits.retry_after", Value::as_bool, false)?;
     let terms = PolicyOptions {
-        routers: need(root, "balancers", Value::as_f64)?.max(1.0),
+        routers: required(root, "balancers", Value::as_f64)?.max(1.0),
         zone_count: zone_names.len().max(1),
         zone: usize::try_from(zone).unwrap_or(usize::MAX),
-        tick_ms: ms(root, "tick_s")?,
+        tick_ms: required_ms(root, "tick_s")?,
         op_types,
         tenant_rates,
-        over_share_value: may(root, "over_share_worth", Value::as_f64, 1.0)?,
-        max_sends: need(root, "limits.max_attempts", Value::as_u64)? as usize,
-        may_hedge: may(root, "limits.second_copies", Value::as_bool, false)?,
-        may_withdraw: may(root, "limits.may_cancel", Value::as_bool, false)?,
-        may_probe: may(root, "limits.probes", Value::as_bool, false)?,
-        probe_price: may(root, "charges.probe", Value::as_f64, 0.0)?,
-        connection_price: may(root, "charges.handshake", Value::as_f64, 0.0)?,
-        cross_zone_price: may(root, "charges.cross_zone", Value::as_f64, 0.0)?,
-        max_retry_after_ms: if retry_after { ms(root, "limits.max_retry_after_s")? } else { 0.0 },
-        drain_grace_ms: ms(root, "rules.drain_grace_s")?,
-        gone_is_binding: !may(root, "rules.dropped_stay_open", Value::as_bool, false)?,
-        list_poll_interval_ms: if asks { Some(ms(root, "rules.ask_every_s")?) } else { None },
-        cold_capacity_share: need(root, "rules.cold_from", Value::as_f64)?,
-        warmup_ms: ms(root, "rules.cold_s")?,
-        overload_multiple: need(root, "rules.fall_multiple", Value::as_f64)?,
-        overload_window_ms: ms(root, "rules.fall_s")?,
-        hosts_reject_stale_reads: need(root, "extra.behind", Value::as_str)? != "off",
-        track_session_writes: may(root, "extra.write_marks", Value::as_str, "remembered")? == "remembered",
+        over_share_value: optional(root, "over_share_worth", Value::as_f64, 1.0)?,
+        max_sends: required(root, "limits.max_attempts", Value::as_u64)? as usize,
+        may_hedge: optional(root, "limits.second_copies", Value::as_bool, false)?,
+        may_withdraw: optional(root, "limits.may_cancel", Value::as_bool, false)?,
+        may_probe: optional(root, "limits.probes", Value::as_bool, false)?,
+        probe_price: optional(root, "charges.probe", Value::as_f64, 0.0)?,
+        connection_price: optional(root, "charges.handshake", Value::as_f64, 0.0)?,
+        cross_zone_price: optional(root, "charges.cross_zone", Value::as_f64, 0.0)?,
+        max_retry_after_ms: if retry_after { required_ms(root, "limits.max_retry_after_s")? } else { 0.0 },
+        drain_grace_ms: required_ms(root, "rules.drain_grace_s")?,
+        gone_is_binding: !optional(root, "rules.dropped_stay_open", Value::as_bool, false)?,
+        list_poll_interval_ms: if asks { Some(required_ms(root, "rules.ask_every_s")?) } else { None },
+        cold_capacity_share: required(root, "rules.cold_from", Value::as_f64)?,
+        warmup_ms: required_ms(root, "rules.cold_s")?,
+        overload_multiple: required(root, "rules.fall_multiple", Value::as_f64)?,
+        overload_window_ms: required_ms(root, "rules.fall_s")?,
+        hosts_reject_stale_reads: required(root, "extra.behind", Value::as_str)? != "off",
+        track_session_writes: optional(root, "extra.write_marks", Value::as_str, "remembered")?
+            == "remembered",
     };
     let place = |name: &str| -> Option<usize> {
-        at(root, "report.fields")?.as_array()?.iter().position(|field| field.as_str() == Some(name))
+        lookup(root, "report.fields")?.as_array()?.iter().position(|field| field.as_str() == Some(name))
     };
     let adapter_options = AdapterOptions {
-        position_origin_ms: may(root, "extra.origin_time_s", Value::as_f64, 0.0)? * 1000.0,
+        position_origin_ms: optional(root, "extra.origin_time_s", Value::as_f64, 0.0)? * 1000.0,
         clients_report_writes: !terms.track_session_writes,
-        clients_mark_retries: may(root, "clients.marks_retry", Value::as_bool, false)?,
+        clients_mark_retries: optional(root, "clients.marks_retry", Value::as_bool, false)?,
         report_position_index: place("x0"),
         report_role_index: place("x1"),
         zone_names,
@@ -153,8 +155,8 @@
             .iter()
             .map(|t| matches!(t.retryability, Retryability::Tokened { .. }))
             .collect(),
-        conn_idle_timeout_ms: may_ms(root, "limits.conn_idle_s", 30.0)?,
-        connect_timeout_ms: may_ms(root, "limits.dial_timeout_s", 1.0)?,
+        conn_idle_timeout_ms: optional_ms(root, "limits.conn_idle_s", 30.0)?,
+        connect_timeout_ms: optional_ms(root, "limits.dial_timeout_s", 1.0)?,
     };
     Ok((terms, adapter_options))
 }
