--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! One instance of the module behind the wire: fields in, calls on its policy, actions out.
+//! One router instance of the simulation: decodes events into calls of its policy, and encodes the policy's
+//! actions.
 
 use crate::wire::{self, Reply, action, event};
 use magpiewell::policy::Policy;
@@ -7,48 +8,51 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Answers carry this for a primary and for a replica.
-const PRIMARY: u32 = 1;
-const REPLICA: u32 = 2;
+/// Role codes in the stamp of an answer.
+const PRIMARY_CODE: u32 = 1;
+const REPLICA_CODE: u32 = 2;
 
-/// Hosts of this instance: their small index by address, and back.
+/// Maps hosts' addresses to the indices that the policy knows them by, and back.
 #[derive(Default)]
-struct Door {
-    index: HashMap<[u8; 6], usize>,
-    address: Vec<[u8; 6]>,
+struct HostTable {
+    indices: HashMap<[u8; 6], usize>,
+    addresses: Vec<[u8; 6]>,
 }
 
-impl Door {
-    fn enter(&mut self, address: [u8; 6]) -> usize {
-        *self.index.entry(address).or_insert_with(|| {
-            self.address.push(address);
-            self.address.len() - 1
+impl HostTable {
+    /// The host's index; a new host gets the next one.
+    fn get_or_insert(&mut self, address: [u8; 6]) -> usize {
+        *self.indices.entry(address).or_insert_with(|| {
+            self.addresses.push(address);
+            self.addresses.len() - 1
         })
     }
 }
 
-struct Actions<'a> {
+/// Appends the policy's actions to the reply.
+struct ReplyOutbox<'a> {
     router: u32,
-    door: &'a Door,
+    hosts: &'a HostTable,
     reply: &'a mut Reply,
 }
 
-impl Outbox for Actions<'_> {
-    /// Here a send leaves at once.
+impl Outbox for ReplyOutbox<'_> {
+    /// In the simulator a send leaves at once, so `begin_by` has no effect.
     fn send(&mut self, op: OpId, host: usize, _begin_by: f64) {
-        self.reply.push(action::ROUTE, self.router, &[&op.to_le_bytes(), &self.door.address[host]]);
+        self.reply.push(action::ROUTE, self.router, &[&op.to_le_bytes(), &self.hosts.addresses[host]]);
     }
 
-    fn withdraw(&mut self, op: OpId, send: usize, cut: bool) {
-        if !cut {
+    fn withdraw(&mut self, op: OpId, send: usize, abort: bool) {
+        // The send has left already; without `abort` it runs on.
+        if !abort {
             return;
         }
         self.reply.push(action::WITHDRAW, self.router, &[&op.to_le_bytes(), &[send as u8]]);
     }
 
-    fn busy_reply(&mut self, op: OpId, retry_ms: f64) {
-        let retry = (retry_ms / 1000.0).to_le_bytes();
-        self.reply.push(action::DECLINE, self.router, &[&op.to_le_bytes(), &retry]);
+    fn busy_reply(&mut self, op: OpId, retry_after_ms: f64) {
+        let retry_after_s = (retry_after_ms / 1000.0).to_le_bytes();
+        self.reply.push(action::DECLINE, self.router, &[&op.to_le_bytes(), &retry_after_s]);
     }
 
     fn error_reply(&mut self, op: OpId) {
@@ -56,20 +60,20 @@
     }
 
     fn probe(&mut self, host: usize) {
-        self.reply.push(action::TOUCH, self.router, &[&self.door.address[host]]);
+        self.reply.push(action::TOUCH, self.router, &[&self.hosts.addresses[host]]);
     }
 
     fn close_idle_connections(&mut self, host: usize) {
-        self.reply.push(action::SHUT_IDLE, self.router, &[&self.door.address[host]]);
+        self.reply.push(action::SHUT_IDLE, self.router, &[&self.hosts.addresses[host]]);
     }
 
     fn watch_host_list(&mut self) {
         self.reply.push(action::KEEP_INFORMED, self.router, &[&[1]]);
     }
 
-    fn wake_after(&mut self, in_ms: f64) {
-        let delay = (in_ms / 1000.0).to_le_bytes();
-        self.reply.push(action::WAKE_AT, self.router, &[&delay, &[0; 8]]);
+    fn wake_after(&mut self, delay_ms: f64) {
+        let delay_s = (delay_ms / 1000.0).to_le_bytes();
+        self.reply.push(action::WAKE_AT, self.router, &[&delay_s, &[0; 8]]);
     }
 
     fn log(&mut self, line: &str) {
@@ -77,7 +81,7 @@
     }
 }
 
-fn ending(code: u16) -> Ending {
+fn ending_from_code(code: u16) -> Ending {
     match code {
         0 => Ending::Acked,
         2 => Ending::Full,
@@ -93,155 +97,171 @@
 
 pub struct Instance {
     router: u32,
-    fields: AdapterOptions,
-    door: Door,
+    options: AdapterOptions,
+    hosts: HostTable,
     policy: Policy,
 }
 
 impl Instance {
+    /// Starts an instance with these settings, given as JSON.
     pub fn start(
-        now: f64,
+        now_ms: f64,
         router: u32,
         seed: u64,
-        text: &[u8],
+        settings: &[u8],
         reply: &mut Reply,
     ) -> Result<Instance, String> {
-        let (terms, fields) = settings::parse(text)?;
-        let door = Door::default();
-        let policy = Policy::new(terms, seed, now, &mut Actions { router, door: &door, reply });
-        Ok(Instance { router, fields, door, policy })
+        let (policy_options, options) = settings::parse(settings)?;
+        let hosts = HostTable::default();
+        let policy =
+            Policy::new(policy_options, seed, now_ms, &mut ReplyOutbox { router, hosts: &hosts, reply });
+        Ok(Instance { router, options, hosts, policy })
     }
 
-    /// Takes one event; a panic of the module becomes this instance's failure alone.
+    /// Handles one event. A panic in the decision core is returned as an error, so that it ends this instance
+    /// only.
     pub fn handle_event(
         &mut self,
-        now: f64,
+        now_ms: f64,
         record: &[u8],
-        page: &[u8],
-        words: &[u8],
+        host_list: &[u8],
+        peer_message: &[u8],
         reply: &mut Reply,
     ) -> Result<(), String> {
-        catch_unwind(AssertUnwindSafe(|| self.decode(now, record, page, words, reply))).map_err(|cause| {
-            let text = cause.downcast_ref::<String>().map(String::as_str);
-            let text = text.or(cause.downcast_ref::<&str>().copied()).unwrap_or("no message");
-            format!("the module panicked: {text}")
-        })
+        catch_unwind(AssertUnwindSafe(|| self.dispatch(now_ms, record, host_list, peer_message, reply)))
+            .map_err(|cause| {
+                let text = cause.downcast_ref::<String>().map(String::as_str);
+                let text = text.or(cause.downcast_ref::<&str>().copied()).unwrap_or("no message");
+                format!("the module panicked: {text}")
+            })
     }
 
-    fn decode(&mut self, now: f64, record: &[u8], page: &[u8], _words: &[u8], reply: &mut Reply) {
+    fn dispatch(
+        &mut self,
+        now_ms: f64,
+        record: &[u8],
+        host_list: &[u8],
+        _peer_message: &[u8],
+        reply: &mut Reply,
+    ) {
         match record[0] {
-            event::ANNOUNCE => self.list(now, record[5], page, reply),
-            event::SUBMIT => self.arrived(now, record, reply),
+            event::ANNOUNCE => self.handle_list(now_ms, record[5], host_list, reply),
+            event::SUBMIT => self.handle_submit(now_ms, record, reply),
             event::ATTEMPT_END => {
-                let host = self.door.index.get(&wire::host_at(record, 29)).copied();
+                let host = self.hosts.indices.get(&wire::host_at(record, 29)).copied();
                 if let Some(host) = host {
-                    self.note(now, host, wire::u32_at(record, 25));
-                    self.report(now, host, &record[35..52]);
+                    self.observe_stamp(now_ms, host, wire::u32_at(record, 25));
+                    self.observe_report(now_ms, host, &record[35..52]);
                 }
                 let (op, send) = (wire::u64_at(record, 5), record[15] as usize);
-                let (how, over) = (ending(wire::u16_at(record, 13)), record[24] != 0);
-                let out = &mut Actions { router: self.router, door: &self.door, reply };
-                self.policy.send_ended(now, out, op, send, how, over);
+                let (ending, is_answered) = (ending_from_code(wire::u16_at(record, 13)), record[24] != 0);
+                let out = &mut ReplyOutbox { router: self.router, hosts: &self.hosts, reply };
+                self.policy.send_ended(now_ms, out, op, send, ending, is_answered);
             }
             event::STATUS_BACK => {
-                let Some(host) = self.door.index.get(&wire::host_at(record, 5)).copied() else {
+                let Some(host) = self.hosts.indices.get(&wire::host_at(record, 5)).copied() else {
                     return;
                 };
-                self.report(now, host, &record[21..38]);
-                let (how, spent) = (ending(wire::u16_at(record, 11)), wire::f64_at(record, 13) * 1000.0);
-                let out = &mut Actions { router: self.router, door: &self.door, reply };
-                self.policy.probe_ended(now, out, host, how, spent);
+                self.observe_report(now_ms, host, &record[21..38]);
+                let (ending, duration_ms) =
+                    (ending_from_code(wire::u16_at(record, 11)), wire::f64_at(record, 13) * 1000.0);
+                let out = &mut ReplyOutbox { router: self.router, hosts: &self.hosts, reply };
+                self.policy.probe_ended(now_ms, out, host, ending, duration_ms);
             }
             event::ABANDONED => {
-                let out = &mut Actions { router: self.router, door: &self.door, reply };
-                self.policy.client_left(now, out, &[wire::u64_at(record, 5)]);
+                let out = &mut ReplyOutbox { router: self.router, hosts: &self.hosts, reply };
+                self.policy.client_left(now_ms, out, &[wire::u64_at(record, 5)]);
             }
             event::ELAPSED => {
-                self.policy.tick(now, &mut Actions { router: self.router, door: &self.door, reply });
+                self.policy.tick(now_ms, &mut ReplyOutbox { router: self.router, hosts: &self.hosts, reply });
             }
-            // Nothing is streamed at the sites of this kind, and the module hears no peers.
+            // Answers are not streamed in this kind of deployment, and messages from peers are ignored.
             event::HEADERS | event::WHISPER => {}
             _ => {}
         }
     }
 
-    fn list(&mut self, now: f64, how: u8, page: &[u8], reply: &mut Reply) {
-        if how == 3 {
-            return self.policy.list_failed(now);
+    /// Applies a host list. `kind`: 0 changes, 1 the whole list, 2 the whole list as last known, 3 the list
+    /// call failed.
+    fn handle_list(&mut self, now_ms: f64, kind: u8, host_list: &[u8], reply: &mut Reply) {
+        if kind == 3 {
+            return self.policy.list_failed(now_ms);
         }
-        self.policy.list_started(how != 0, how == 2);
-        for entry in page.chunks_exact(wire::ENTRY_BYTES) {
-            let host = self.door.enter(wire::host_at(entry, 0));
-            let phase = match entry[16] {
+        self.policy.list_started(kind != 0, kind == 2);
+        for entry in host_list.chunks_exact(wire::ENTRY_BYTES) {
+            let host = self.hosts.get_or_insert(wire::host_at(entry, 0));
+            let state = match entry[16] {
                 0 => HostState::Ready,
                 1 => HostState::Draining,
                 _ => HostState::Gone,
             };
-            let started = wire::f64_at(entry, 21) * 1000.0;
-            let started = if started > 0.0 { started } else { f64::NEG_INFINITY };
-            let (group, size) = (wire::u16_at(entry, 10) as usize, wire::f32_at(entry, 17) as f64);
+            let started_at = wire::f64_at(entry, 21) * 1000.0;
+            let started_at = if started_at > 0.0 { started_at } else { f64::NEG_INFINITY };
+            let (group, capacity) = (wire::u16_at(entry, 10) as usize, wire::f32_at(entry, 17) as f64);
             let primary = wire::f32_at(entry, 12) == 1.0;
             let zone = wire::u16_at(entry, 6) as usize;
             self.policy.host_listed(
-                now,
+                now_ms,
                 host,
-                HostEntry { group, state: phase, capacity: size, started_at: started, primary, zone },
+                HostEntry { group, state, capacity, started_at, primary, zone },
             );
         }
-        self.policy.list_ended(now, &mut Actions { router: self.router, door: &self.door, reply });
+        self.policy.list_ended(now_ms, &mut ReplyOutbox { router: self.router, hosts: &self.hosts, reply });
     }
 
-    fn arrived(&mut self, now: f64, record: &[u8], reply: &mut Reply) {
-        let (op, kind) = (wire::u64_at(record, 5), wire::u16_at(record, 13) as usize);
-        let out = &mut Actions { router: self.router, door: &self.door, reply };
-        let Some(&timeout) = self.fields.op_timeouts_ms.get(kind) else {
-            return out.error_reply(op);
+    fn handle_submit(&mut self, now_ms: f64, record: &[u8], reply: &mut Reply) {
+        let (id, op_type) = (wire::u64_at(record, 5), wire::u16_at(record, 13) as usize);
+        let out = &mut ReplyOutbox { router: self.router, hosts: &self.hosts, reply };
+        let Some(&op_timeout_ms) = self.options.op_timeouts_ms.get(op_type) else {
+            return out.error_reply(id);
         };
-        let attrs = record[51];
-        let work = if attrs & 1 != 0 { wire::f64_at(record, 35) * 1000.0 } else { 0.0 };
-        let since = self.fields.clients_report_writes.then(|| wire::f32_at(record, 47) as f64);
+        // Bit 0: the op states its own work; bit 1: it is a retry.
+        let flags = record[51];
+        let work_ms = if flags & 1 != 0 { wire::f64_at(record, 35) * 1000.0 } else { 0.0 };
+        let since_write_ms = self.options.clients_report_writes.then(|| wire::f32_at(record, 47) as f64);
         let group = wire::f32_at(record, 43).clamp(0.0, u16::MAX as f32) as usize;
-        let longer = if work > 0.0 { self.fields.target_growth[kind] * work } else { 0.0 };
-        let facts = OpRequest {
-            id: op,
-            op_type: kind,
+        let extra_latency_ms =
+            if work_ms > 0.0 { self.options.target_growth[op_type] * work_ms } else { 0.0 };
+        let request = OpRequest {
+            id,
+            op_type,
             group,
             tenant: wire::u32_at(record, 15) as usize,
             session: wire::u64_at(record, 19),
             client_timeout_ms: wire::f64_at(record, 27) * 1000.0,
-            since_write_ms: since,
-            is_retry: self.fields.clients_mark_retries.then_some(attrs & 2 != 0),
-            extra_latency_ms: longer,
-            op_timeout_ms: timeout,
+            since_write_ms,
+            is_retry: self.options.clients_mark_retries.then_some(flags & 2 != 0),
+            extra_latency_ms,
+            op_timeout_ms,
         };
-        self.policy.op_arrived(now, out, facts);
+        self.policy.op_arrived(now_ms, out, request);
     }
 
-    /// An answer's note: 4 x position in ms + role.
-    fn note(&mut self, now: f64, host: usize, stamp: u32) {
+    /// Applies the stamp of an answer: 4 x log position in ms + role code; position 0 means none.
+    fn observe_stamp(&mut self, now_ms: f64, host: usize, stamp: u32) {
         let role = match stamp % 4 {
-            PRIMARY => Some(Role::Primary),
-            REPLICA => Some(Role::Replica),
+            PRIMARY_CODE => Some(Role::Primary),
+            REPLICA_CODE => Some(Role::Replica),
             _ => None,
         };
-        let pos = (stamp / 4 > 0).then_some(self.fields.position_origin_ms + (stamp / 4) as f64);
-        if role.is_some() || pos.is_some() {
-            self.policy.host_reported(now, host, role, pos, true);
+        let position = (stamp / 4 > 0).then_some(self.options.position_origin_ms + (stamp / 4) as f64);
+        if role.is_some() || position.is_some() {
+            self.policy.host_reported(now_ms, host, role, position, true);
         }
     }
 
-    /// A report: how many values, then the values.
-    fn report(&mut self, now: f64, host: usize, field: &[u8]) {
-        let value = |place: Option<usize>| {
-            place.filter(|p| *p < (field[0] as usize).min(4)).map(|p| wire::f32_at(field, 1 + 4 * p))
+    /// Applies a host's report: the number of values, at most 4, then the values.
+    fn observe_report(&mut self, now_ms: f64, host: usize, report: &[u8]) {
+        let value = |index: Option<usize>| {
+            index.filter(|i| *i < (report[0] as usize).min(4)).map(|i| wire::f32_at(report, 1 + 4 * i))
         };
-        // The next lower value is surely no later than what the host meant.
-        let pos = value(self.fields.report_position_index)
-            .map(|x| self.fields.position_origin_ms + x.next_down() as f64 * 1000.0);
-        let role = value(self.fields.report_role_index);
+        // Rounding to f32 may have raised the position; the next lower value is never too high.
+        let position = value(self.options.report_position_index)
+            .map(|x| self.options.position_origin_ms + x.next_down() as f64 * 1000.0);
+        let role = value(self.options.report_role_index);
         let role = role.map(|x| if x >= 0.5 { Role::Primary } else { Role::Replica });
-        if role.is_some() || pos.is_some() {
-            self.policy.host_reported(now, host, role, pos, false);
+        if role.is_some() || position.is_some() {
+            self.policy.host_reported(now_ms, host, role, position, false);
         }
     }
 }
