--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -69,6 +69,7 @@
         }
         let empty: &[u8] = &[];
         let (host_list, peer_message) = match code {
+            // Kind 3 reports that the list call failed; it names no list.
             event::ANNOUNCE if record[5] != 3 => {
                 let number = wire::u16_at(record, 14) as usize;
                 let list =
--- a/crates/adapter/tests/pipe.rs
+++ b/crates/adapter/tests/pipe.rs
@@ -53,8 +53,7 @@
         self.event_with_tail(18, &[(1, &[3, 0, 0, 0]), (5, &[9])], 13, settings.as_bytes(), length)
     }
 
-    /// Stores list number 2 with these hosts, the first address being a primary, and announces it to router
-    /// 3.
+    /// Stores list number 2 with these hosts, of which host 1 is a primary, and announces it to router 3.
     fn list(self, hosts: &[u8]) -> Batch {
         let mut entries = Vec::new();
         for host in hosts {
