--- a/crates/facts/src/fact.rs
+++ b/crates/facts/src/fact.rs
@@ -17,7 +17,7 @@
     /// Nothing came back from the host: a probe was not answered, or sends were overtaken by later ones.
     Unresponsive { host: HostKey },
     /// So many reads took this many hundredths of the time that the host's ops usually take.
-    Slow { host: HostKey, hundredths: u16, reads: u16 },
+    Slow { host: HostKey, latency_percent: u16, reads: u16 },
 }
 
 /// An observation, its origin and its time.
@@ -37,7 +37,7 @@
         match self {
             Observation::Primary { .. } => limits.primary_lifetime,
             Observation::ReplicaLag { .. } => limits.replica_lag_lifetime,
-            Observation::Unresponsive { .. } | Observation::Slow { .. } => limits.complaint_lifetime,
+            Observation::Unresponsive { .. } | Observation::Slow { .. } => limits.degradation_lifetime,
         }
     }
 }
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -61,7 +61,9 @@
     /// it was queued.
     pub fn observe(&mut self, now: f64, observation: Observation) -> bool {
         let known = match observation {
-            Observation::Unresponsive { host } => self.unresponsive(now, host) >= self.limits.max_origins,
+            Observation::Unresponsive { host } => {
+                self.unresponsive_reports(now, host) >= self.limits.max_origins
+            }
             Observation::Primary { group, host } => self.store.holds_primary(group, host),
             Observation::ReplicaLag { .. } | Observation::Slow { .. } => false,
         };
@@ -103,7 +105,7 @@
 
     /// Whether primaries are changing: more may have changed than this router has heard of.
     pub fn should_pull(&self, now: f64) -> bool {
-        now - self.primary_learned_at <= self.limits.pull_after_news
+        now - self.primary_learned_at <= self.limits.pull_window
     }
 
     /// What this router has learned of primaries lately, to ask another for what it lacks.
@@ -133,13 +135,13 @@
     }
 
     /// How many other routers lately had no answer from a host: at most as many as origins are kept.
-    pub fn unresponsive(&self, now: f64, host: HostKey) -> usize {
-        self.store.unresponsive(now, host, self.local, &self.limits)
+    pub fn unresponsive_reports(&self, now: f64, host: HostKey) -> usize {
+        self.store.unresponsive_reports(now, host, self.local, &self.limits)
     }
 
     /// How slow other routers' reads of a host were lately; none where no router reported slow reads.
-    pub fn slow(&self, now: f64, host: HostKey) -> Option<LatencyRatio> {
-        self.store.slow(now, host, self.local, &self.limits)
+    pub fn latency_ratio(&self, now: f64, host: HostKey) -> Option<LatencyRatio> {
+        self.store.latency_ratio(now, host, self.local, &self.limits)
     }
 
     /// Drops what has expired; to be called now and then.
--- a/crates/facts/src/limits.rs
+++ b/crates/facts/src/limits.rs
@@ -14,11 +14,11 @@
     /// A digest covers the primaries observed within so long.
     pub digest_window: f64,
     /// For so long after a router has learned a primary it asks others for more.
-    pub pull_after_news: f64,
+    pub pull_window: f64,
     /// How long a replica's lag is of use.
     pub replica_lag_lifetime: f64,
     /// How long it is of use that a host was unresponsive or slow.
-    pub complaint_lifetime: f64,
+    pub degradation_lifetime: f64,
     /// Facts dated further ahead than this are rejected: clocks may differ by no more.
     pub max_clock_skew: f64,
     /// How often one fact is sent.
@@ -35,9 +35,9 @@
             max_origins: 4,
             primary_lifetime: 60_000.0,
             digest_window: 15_000.0,
-            pull_after_news: 5_000.0,
+            pull_window: 5_000.0,
             replica_lag_lifetime: 3_000.0,
-            complaint_lifetime: 4_000.0,
+            degradation_lifetime: 4_000.0,
             max_clock_skew: 1_500.0,
             transmit_limit: 10,
             max_queued: 256,
--- a/crates/facts/src/store.rs
+++ b/crates/facts/src/store.rs
@@ -46,7 +46,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct SlowReads {
-    hundredths: u16,
+    latency_percent: u16,
     reads: u16,
 }
 
@@ -96,8 +96,8 @@
             Observation::Unresponsive { host } => self.merge_host(host, limits, |held| {
                 held.unresponsive.merge(Stamped { stamp, value: () }, limits.max_origins)
             }),
-            Observation::Slow { host, hundredths, reads } => self.merge_host(host, limits, |held| {
-                let value = SlowReads { hundredths, reads };
+            Observation::Slow { host, latency_percent, reads } => self.merge_host(host, limits, |held| {
+                let value = SlowReads { latency_percent, reads };
                 held.slow.merge(Stamped { stamp, value }, limits.max_origins)
             }),
         }
@@ -172,19 +172,25 @@
     }
 
     /// How many other routers than `local` had no answer from a host.
-    pub fn unresponsive(&self, now: f64, host: HostKey, local: u16, limits: &Limits) -> usize {
+    pub fn unresponsive_reports(&self, now: f64, host: HostKey, local: u16, limits: &Limits) -> usize {
         let Some(held) = self.hosts.get(&host) else { return 0 };
-        held.unresponsive.recent_of_others(now, limits.complaint_lifetime, local).count()
+        held.unresponsive.recent_of_others(now, limits.degradation_lifetime, local).count()
     }
 
     /// How slow the reads of other routers than `local` were.
-    pub fn slow(&self, now: f64, host: HostKey, local: u16, limits: &Limits) -> Option<LatencyRatio> {
+    pub fn latency_ratio(
+        &self,
+        now: f64,
+        host: HostKey,
+        local: u16,
+        limits: &Limits,
+    ) -> Option<LatencyRatio> {
         let held = self.hosts.get(&host)?;
         let (mut reads, mut sum) = (0.0, 0.0);
-        for slow in held.slow.recent_of_others(now, limits.complaint_lifetime, local) {
+        for slow in held.slow.recent_of_others(now, limits.degradation_lifetime, local) {
             let count = f64::from(slow.value.reads);
             reads += count;
-            sum += count * f64::from(slow.value.hundredths) / 100.0;
+            sum += count * f64::from(slow.value.latency_percent) / 100.0;
         }
         (reads > 0.0).then(|| LatencyRatio { reads, ratio: sum / reads })
     }
@@ -194,8 +200,8 @@
         self.primaries.retain(|_, held| age(held.stamp) <= limits.primary_lifetime);
         for host in self.hosts.values_mut() {
             host.replica_lag = host.replica_lag.filter(|held| age(held.stamp) <= limits.replica_lag_lifetime);
-            host.unresponsive.remove_older(now, limits.complaint_lifetime);
-            host.slow.remove_older(now, limits.complaint_lifetime);
+            host.unresponsive.remove_older(now, limits.degradation_lifetime);
+            host.slow.remove_older(now, limits.degradation_lifetime);
         }
         self.hosts.retain(|_, host| *host != Host::default());
     }
--- a/crates/facts/src/tests.rs
+++ b/crates/facts/src/tests.rs
@@ -15,9 +15,9 @@
         (0u32..3, 0u32..4).prop_map(|(group, host)| Observation::Primary { group, host }),
         (0u32..4, 0u32..5_000).prop_map(|(host, ms)| Observation::ReplicaLag { host, ms }),
         (0u32..4).prop_map(|host| Observation::Unresponsive { host }),
-        (0u32..4, 0u16..900, 1u16..9).prop_map(|(host, hundredths, reads)| Observation::Slow {
+        (0u32..4, 0u16..900, 1u16..9).prop_map(|(host, latency_percent, reads)| Observation::Slow {
             host,
-            hundredths,
+            latency_percent,
             reads
         }),
     ];
@@ -40,8 +40,9 @@
 /// What can be asked of a store, for all that the strategies name.
 fn known(facts: &Facts) -> String {
     let groups: Vec<_> = (0..3).map(|g| facts.primary(NOW, g)).collect();
-    let hosts: Vec<_> =
-        (0..4).map(|h| (facts.replica_lag(NOW, h), facts.unresponsive(NOW, h), facts.slow(NOW, h))).collect();
+    let hosts: Vec<_> = (0..4)
+        .map(|h| (facts.replica_lag(NOW, h), facts.unresponsive_reports(NOW, h), facts.latency_ratio(NOW, h)))
+        .collect();
     format!("{groups:?} {hosts:?}")
 }
 
@@ -156,13 +157,13 @@
                 0 => Observation::Primary { group: key, host: key },
                 1 => Observation::ReplicaLag { host: key, ms: key },
                 2 => Observation::Unresponsive { host: key % 11 },
-                _ => Observation::Slow { host: key % 11, hundredths: origin, reads: origin },
+                _ => Observation::Slow { host: key % 11, latency_percent: origin, reads: origin },
             };
             let received = facts.receive(NOW, Fact { observation, origin, observed_at: NOW + off });
             prop_assert!(off <= limits.max_clock_skew || received == Received::Rejected);
             let Sizes { groups, hosts, queued, .. } = facts.sizes();
             prop_assert!(groups <= 5 && hosts <= 7 && queued <= 9);
-            prop_assert!(facts.unresponsive(NOW, key % 11) <= 2);
+            prop_assert!(facts.unresponsive_reports(NOW, key % 11) <= 2);
         }
         facts.facts_to_send(NOW + 70_000.0, 1);
         facts.remove_expired(NOW + 70_000.0);
@@ -188,7 +189,7 @@
         );
     }
     assert!(!facts.observe(NOW, Observation::Unresponsive { host: 3 }));
-    assert_eq!(facts.unresponsive(NOW, 3), 2);
+    assert_eq!(facts.unresponsive_reports(NOW, 3), 2);
 }
 
 #[test]
@@ -218,14 +219,18 @@
 #[test]
 fn slow_reads_of_several_routers_count_together_without_ones_own() {
     let mut facts = Facts::new(0, Limits::default());
-    facts.observe(NOW, Observation::Slow { host: 1, hundredths: 900, reads: 50 });
-    assert_eq!(facts.slow(NOW, 1), None);
-    for (origin, hundredths, reads) in [(1, 300, 1), (2, 500, 3)] {
+    facts.observe(NOW, Observation::Slow { host: 1, latency_percent: 900, reads: 50 });
+    assert_eq!(facts.latency_ratio(NOW, 1), None);
+    for (origin, latency_percent, reads) in [(1, 300, 1), (2, 500, 3)] {
         facts.receive(
             NOW,
-            Fact { observation: Observation::Slow { host: 1, hundredths, reads }, origin, observed_at: NOW },
+            Fact {
+                observation: Observation::Slow { host: 1, latency_percent, reads },
+                origin,
+                observed_at: NOW,
+            },
         );
     }
-    assert_eq!(facts.slow(NOW, 1), Some(LatencyRatio { reads: 4.0, ratio: 4.5 }));
-    assert_eq!(facts.slow(NOW + 5_000.0, 1), None);
+    assert_eq!(facts.latency_ratio(NOW, 1), Some(LatencyRatio { reads: 4.0, ratio: 4.5 }));
+    assert_eq!(facts.latency_ratio(NOW + 5_000.0, 1), None);
 }
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -63,7 +63,7 @@
     pub fn new(
         local: MemberId,
         size: usize,
-        started: u64,
+        started_at: u64,
         seed: u64,
         limits: Limits,
     ) -> Result<Members, RosterError> {
@@ -75,7 +75,7 @@
         }
         let mut members = Members {
             local,
-            incarnation: Incarnation { started, refutations: 0 },
+            incarnation: Incarnation { started_at, refutations: 0 },
             limits,
             roster: Roster::new(size),
             suspicions: Vec::new(),
--- a/crates/members/src/suspicion.rs
+++ b/crates/members/src/suspicion.rs
@@ -86,7 +86,7 @@
         }
         let Some(held) = self.roster.get(update.member) else { return };
         let is_accusation = matches!(update.state, State::Suspect | State::Dead);
-        let is_ignored = is_accusation && held.group != GroupStatus::Heard;
+        let is_ignored = is_accusation && held.group != GroupStatus::Reachable;
         if is_ignored || !update.overrides(held) {
             return;
         }
@@ -119,7 +119,7 @@
     fn refute(&mut self, update: Update) {
         let accused = update.state != State::Alive && update.incarnation >= self.incarnation && !self.left;
         // An earlier process of this member may have run on a clock that was ahead.
-        let later_process = update.incarnation.started > self.incarnation.started;
+        let later_process = update.incarnation.started_at > self.incarnation.started_at;
         if !accused && !later_process {
             return;
         }
--- a/crates/members/src/tests.rs
+++ b/crates/members/src/tests.rs
@@ -192,7 +192,7 @@
 fn whom_the_roster_does_not_name_does_not_exist_and_lies_about_others_are_refuted() {
     let mut tier = Tier::new(6, 8, 0.0);
     tier.run(3_000.0);
-    let far = Incarnation { started: u64::MAX >> 16, refutations: 3 };
+    let far = Incarnation { started_at: u64::MAX >> 16, refutations: 3 };
     let lies: Vec<Update> =
         (0..10_000).map(|who| Update { member: who as u16, incarnation: far, state: State::Dead }).collect();
     let actions = tier.members[0].as_mut().unwrap().receive(
@@ -214,7 +214,7 @@
 #[test]
 fn a_forged_update_with_the_highest_count_is_refuted() {
     let mut one = Members::new(0, 4, 9, 1, Limits::default()).unwrap();
-    let forged = Incarnation { started: 9, refutations: u32::MAX };
+    let forged = Incarnation { started_at: 9, refutations: u32::MAX };
     let update = Update { member: 0, incarnation: forged, state: State::Dead };
     one.receive(1.0, 1, Incarnation::default(), Message::Gossip, &[update]);
     assert!(one.incarnation() > forged, "{:?}", one.incarnation());
@@ -251,7 +251,7 @@
         assert!(!one.suspect(2.0, 2), "and this router itself accuses nobody there");
         // What the member says of itself is taken: it has left.
         let left = Update { state: State::Left, ..accused(2) };
-        one.set_group_status(2, GroupStatus::Heard);
+        one.set_group_status(2, GroupStatus::Reachable);
         assert!(one.is_counted(2));
         one.set_group_status(2, status);
         one.receive(3.0, 1, Incarnation::default(), Message::Gossip, &[left]);
@@ -274,9 +274,9 @@
 
 fn update() -> impl Strategy<Value = Update> {
     let state = prop::sample::select(vec![State::Alive, State::Suspect, State::Dead, State::Left]);
-    (1u16..4, 0u64..3, 0u32..3, state).prop_map(|(member, started, refutations, state)| Update {
+    (1u16..4, 0u64..3, 0u32..3, state).prop_map(|(member, started_at, refutations, state)| Update {
         member,
-        incarnation: Incarnation { started, refutations },
+        incarnation: Incarnation { started_at, refutations },
         state,
     })
 }
--- a/crates/members/src/update.rs
+++ b/crates/members/src/update.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
     /// When the process started, in Unix ms.
-    pub started: u64,
+    pub started_at: u64,
     /// How often the process has refuted a suspicion of itself since.
     pub refutations: u32,
 }
@@ -17,11 +17,11 @@
 impl Incarnation {
     /// The incarnation with which a process of `self` refutes an update about `accused`.
     pub(crate) fn refuting(self, accused: Incarnation) -> Incarnation {
-        let started = self.started.max(accused.started);
+        let started_at = self.started_at.max(accused.started_at);
         match accused.refutations.checked_add(1) {
-            Some(refutations) => Incarnation { started, refutations },
+            Some(refutations) => Incarnation { started_at, refutations },
             // No process refutes so often; a forged update may say so, and must not win for good.
-            None => Incarnation { started: started + 1, refutations: 0 },
+            None => Incarnation { started_at: started_at + 1, refutations: 0 },
         }
     }
 }
@@ -56,7 +56,7 @@
 pub enum GroupStatus {
     /// The group is heard: its members are judged one by one.
     #[default]
-    Heard,
+    Reachable,
     /// The group is silent and its members don't count. No single one of them is suspected meanwhile.
     NotCounted,
     /// The group is silent, but its members may be on the other side of a partition: they go on counting, and no
@@ -82,7 +82,7 @@
 
     /// Whether the member can be expected to answer.
     pub fn is_reachable(&self) -> bool {
-        self.is_counted() && self.group == GroupStatus::Heard
+        self.is_counted() && self.group == GroupStatus::Reachable
     }
 
     /// The update that tells this member's state.
--- a/crates/peers/src/tier.rs
+++ b/crates/peers/src/tier.rs
@@ -133,7 +133,7 @@
 }
 
 fn encode_incarnation(incarnation: Incarnation, bytes: &mut Vec<u8>) {
-    let started = incarnation.started.to_be_bytes();
+    let started = incarnation.started_at.to_be_bytes();
     bytes.extend_from_slice(&started[started.len() - STARTED_LENGTH..]);
     bytes.extend_from_slice(&incarnation.refutations.to_be_bytes());
 }
@@ -156,8 +156,8 @@
         Observation::Primary { group, host } => (ENTRY_PRIMARY, group, host),
         Observation::ReplicaLag { host, ms } => (ENTRY_REPLICA_LAG, host, ms),
         Observation::Unresponsive { host } => (ENTRY_UNRESPONSIVE, host, 0),
-        Observation::Slow { host, hundredths, reads } => {
-            (ENTRY_SLOW, host, u32::from(hundredths) << 16 | u32::from(reads))
+        Observation::Slow { host, latency_percent, reads } => {
+            (ENTRY_SLOW, host, u32::from(latency_percent) << 16 | u32::from(reads))
         }
     };
     bytes.push(kind);
@@ -278,7 +278,7 @@
 
 fn decode_incarnation(bytes: &[u8]) -> Incarnation {
     let (started, refutations) = bytes.split_at(STARTED_LENGTH);
-    Incarnation { started: read_number(started), refutations: read_number(refutations) as u32 }
+    Incarnation { started_at: read_number(started), refutations: read_number(refutations) as u32 }
 }
 
 fn decode_update(entry: &[u8]) -> Result<Update, DecodeError> {
@@ -301,7 +301,7 @@
         ENTRY_REPLICA_LAG => Observation::ReplicaLag { host: subject, ms: value },
         ENTRY_UNRESPONSIVE => Observation::Unresponsive { host: subject },
         ENTRY_SLOW => {
-            Observation::Slow { host: subject, hundredths: (value >> 16) as u16, reads: value as u16 }
+            Observation::Slow { host: subject, latency_percent: (value >> 16) as u16, reads: value as u16 }
         }
         _ => return Err(DecodeError::Kind),
     };
--- a/crates/peers/src/tier/tests.rs
+++ b/crates/peers/src/tier/tests.rs
@@ -12,7 +12,8 @@
 }
 
 fn incarnation() -> impl Strategy<Value = Incarnation> {
-    (0u64..1 << 48, any::<u32>()).prop_map(|(started, refutations)| Incarnation { started, refutations })
+    (0u64..1 << 48, any::<u32>())
+        .prop_map(|(started_at, refutations)| Incarnation { started_at, refutations })
 }
 
 fn update() -> impl Strategy<Value = Update> {
@@ -25,14 +26,13 @@
 }
 
 fn fact() -> impl Strategy<Value = Fact> {
-    let observation =
-        prop_oneof![
-            (any::<u32>(), any::<u32>()).prop_map(|(group, host)| Observation::Primary { group, host }),
-            (any::<u32>(), any::<u32>()).prop_map(|(host, ms)| Observation::ReplicaLag { host, ms }),
-            any::<u32>().prop_map(|host| Observation::Unresponsive { host }),
-            (any::<u32>(), any::<u16>(), any::<u16>())
-                .prop_map(|(host, hundredths, reads)| Observation::Slow { host, hundredths, reads }),
-        ];
+    let observation = prop_oneof![
+        (any::<u32>(), any::<u32>()).prop_map(|(group, host)| Observation::Primary { group, host }),
+        (any::<u32>(), any::<u32>()).prop_map(|(host, ms)| Observation::ReplicaLag { host, ms }),
+        any::<u32>().prop_map(|host| Observation::Unresponsive { host }),
+        (any::<u32>(), any::<u16>(), any::<u16>())
+            .prop_map(|(host, latency_percent, reads)| Observation::Slow { host, latency_percent, reads }),
+    ];
     (observation, any::<u16>(), -1_000_000i64..1_000_000).prop_map(|(observation, origin, off)| Fact {
         observation,
         origin,
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -232,11 +232,11 @@
                 Some(PeerFact::ReplicaLag { host, ms: f64::from(ms), observed_at })
             }
             Observation::Unresponsive { host } => {
-                let reports = self.facts.unresponsive(now, host);
+                let reports = self.facts.unresponsive_reports(now, host);
                 (reports >= self.limits.unresponsive_quorum).then_some(PeerFact::Unresponsive { host })
             }
             Observation::Slow { host, .. } => {
-                let slow = self.facts.slow(now, host)?;
+                let slow = self.facts.latency_ratio(now, host)?;
                 Some(PeerFact::Slow { host, ratio: slow.ratio, reads: slow.reads })
             }
         }
--- a/crates/tier/src/zones.rs
+++ b/crates/tier/src/zones.rs
@@ -80,7 +80,7 @@
         for member in 0..self.senders.len() as u16 {
             let reachability = evidence.map().zone(member).map(|zone| evidence.reachability(zone));
             let status = match reachability.unwrap_or_default() {
-                Reachability::Reachable => GroupStatus::Heard,
+                Reachability::Reachable => GroupStatus::Reachable,
                 Reachability::LostOrCutOff => GroupStatus::NotCounted,
                 Reachability::CutOff => GroupStatus::Frozen,
             };
