--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -1,5 +1,6 @@
-//! Relays answers to a client, in the order of its commands. Whoever brings the next one writes it, as far as the
-//! client takes it without waiting; what is left over the clients' loop writes when the client takes more.
+//! A client's connection and its answers, which are written in the order of its commands. The thread that
+//! completes the next answer writes it as far as the socket takes it without blocking; the client loop writes
+//! the rest once the socket is writable again.
 
 use crate::shared::{MemoryReservation, Shared};
 use crate::vectored_io;
@@ -8,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Answers on their way to one client.
+/// Answers that are not written yet to one client.
 #[derive(Default)]
 pub struct Outgoing {
     state: Mutex<State>,
@@ -16,32 +17,35 @@
 
 #[derive(Default)]
 struct State {
-    /// Commands taken so far, answers in turn so far, and answers written so far.
-    taken: u64,
+    /// Commands accepted so far.
+    accepted: u64,
+    /// Number of the command whose answer is queued next.
     next: u64,
-    done: u64,
-    /// Answers that came before their turn.
-    early: BTreeMap<u64, (Vec<u8>, MemoryReservation)>,
-    /// What the client did not take at once.
-    left: VecDeque<(Vec<u8>, MemoryReservation)>,
-    /// Reading waits until some of the answers are written.
-    waited_for: bool,
-    /// No more commands come.
-    over: bool,
+    /// Answers written so far.
+    written: u64,
+    /// Answers that arrived before their turn, by command number.
+    out_of_order: BTreeMap<u64, (Vec<u8>, MemoryReservation)>,
+    /// Answers in order that the socket has not taken in full.
+    unwritten: VecDeque<(Vec<u8>, MemoryReservation)>,
+    /// Reading is paused until some answers are written.
+    is_reader_waiting: bool,
+    /// No more commands will be accepted.
+    is_finishing: bool,
     /// Nothing more can be written.
-    broken: bool,
+    is_broken: bool,
 }
 
-/// One client connection; its descriptor closes when the clients' loop and its ops have let go.
+/// One client connection. Its descriptor closes when the client loop and all ops of the client have dropped
+/// it.
 pub struct Client {
     pub id: u64,
     pub stream: TcpStream,
     pub outgoing: Outgoing,
-    /// Commands taken whose answers are not written yet.
+    /// Commands accepted whose answers are not written yet.
     pub pending: AtomicUsize,
-    /// When it last wrote something or was answered, in whole ms.
-    pub last: AtomicU64,
-    /// When it was told to come back, in whole ms.
+    /// When it last sent something or was answered, in whole Unix ms.
+    pub last_active_at: AtomicU64,
+    /// The retry time that its last busy reply named, in whole Unix ms.
     pub retry_at: AtomicU64,
     pub shared: Arc<Shared>,
 }
@@ -55,138 +59,140 @@
 impl Client {
     pub fn new(shared: &Arc<Shared>, id: u64, stream: TcpStream) -> Arc<Client> {
         shared.client_opened();
-        let last = AtomicU64::new(shared.clock.now() as u64);
+        let last_active_at = AtomicU64::new(shared.clock.now() as u64);
         let (outgoing, pending, retry_at) = Default::default();
-        Arc::new(Client { id, stream, outgoing, pending, last, retry_at, shared: shared.clone() })
+        Arc::new(Client { id, stream, outgoing, pending, last_active_at, retry_at, shared: shared.clone() })
     }
 
     fn outgoing(&self) -> MutexGuard<'_, State> {
-        self.outgoing.state.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.outgoing.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// True where as many answers as that are still to be written; the clients' loop then hears once some are.
-    pub fn is_full(&self, most: usize) -> bool {
+    /// Whether this many answers or more are unwritten; if so, the client loop is woken once some are
+    /// written.
+    pub fn is_full(&self, limit: usize) -> bool {
         let mut state = self.outgoing();
-        state.waited_for = !state.broken && state.taken - state.done >= most as u64;
-        state.waited_for
+        state.is_reader_waiting = !state.is_broken && state.accepted - state.written >= limit as u64;
+        state.is_reader_waiting
     }
 
-    /// The number of a new command; none where nothing can be written any more.
+    /// Accepts a command and returns its number; none where nothing can be written any more.
     pub fn begin_command(&self) -> Option<u64> {
         let mut state = self.outgoing();
-        if state.broken {
+        if state.is_broken {
             return None;
         }
-        state.taken += 1;
+        state.accepted += 1;
         self.pending.fetch_add(1, Relaxed);
-        Some(state.taken - 1)
+        Some(state.accepted - 1)
     }
 
-    /// The whole answer to a command.
-    pub fn answer(self: &Arc<Client>, seq: u64, bytes: Vec<u8>, held: MemoryReservation) {
+    /// Queues the whole answer to command `seq`, and writes what can be written.
+    pub fn answer(self: &Arc<Client>, seq: u64, bytes: Vec<u8>, reservation: MemoryReservation) {
         let mut guard = self.outgoing();
         let state = &mut *guard;
-        if state.broken {
+        if state.is_broken {
             return;
         }
-        let was_slow = !state.left.is_empty();
+        let was_slow = !state.unwritten.is_empty();
         if seq == state.next {
-            state.left.push_back((bytes, held));
+            state.unwritten.push_back((bytes, reservation));
             state.next += 1;
         } else {
-            state.early.insert(seq, (bytes, held));
+            state.out_of_order.insert(seq, (bytes, reservation));
         }
-        while let Some(answer) = state.early.remove(&state.next) {
-            state.left.push_back(answer);
+        while let Some(answer) = state.out_of_order.remove(&state.next) {
+            state.unwritten.push_back(answer);
             state.next += 1;
         }
-        if was_slow || state.left.is_empty() {
+        if was_slow || state.unwritten.is_empty() {
             return;
         }
         self.write(state);
-        if !state.left.is_empty() {
-            // Its loop gives it only so long to take the rest.
+        if !state.unwritten.is_empty() {
+            // Wakes the client loop, which limits how long the client may take to read the rest.
             self.shared.wake_client(self.id);
         }
     }
 
-    /// Writes what the client takes by now; true where that was something.
-    pub fn write_left(&self) -> bool {
+    /// Writes what the socket takes now; true where that was anything.
+    pub fn write_remaining(&self) -> bool {
         let mut state = self.outgoing();
-        let before = (state.done, state.left.front().map(|(bytes, _)| bytes.len()));
+        let before = (state.written, state.unwritten.front().map(|(bytes, _)| bytes.len()));
         self.write(&mut state);
-        before != (state.done, state.left.front().map(|(bytes, _)| bytes.len()))
+        before != (state.written, state.unwritten.front().map(|(bytes, _)| bytes.len()))
     }
 
-    /// Some answers wait for the client to take them.
+    /// Whether answers wait until the client reads more.
     pub fn is_slow(&self) -> bool {
-        !self.outgoing().left.is_empty()
+        !self.outgoing().unwritten.is_empty()
     }
 
     fn write(&self, state: &mut State) {
-        if state.left.is_empty() {
+        if state.unwritten.is_empty() {
             return;
         }
-        let parts: Vec<&[u8]> = state.left.iter().map(|(bytes, _)| bytes.as_slice()).collect();
-        let Ok(mut taken) = vectored_io::write_nonblocking(&self.stream, &parts) else {
+        let parts: Vec<&[u8]> = state.unwritten.iter().map(|(bytes, _)| bytes.as_slice()).collect();
+        let Ok(mut sent) = vectored_io::write_nonblocking(&self.stream, &parts) else {
             return self.abort_locked(state);
         };
-        let mut whole = 0;
-        while let Some((bytes, _)) = state.left.front_mut() {
-            if bytes.len() > taken {
-                bytes.drain(..taken);
+        let mut answers_written = 0;
+        while let Some((bytes, _)) = state.unwritten.front_mut() {
+            if bytes.len() > sent {
+                bytes.drain(..sent);
                 break;
             }
-            taken -= bytes.len();
-            state.left.pop_front();
-            whole += 1;
+            sent -= bytes.len();
+            state.unwritten.pop_front();
+            answers_written += 1;
         }
-        if state.left.is_empty() {
-            // One answer at a time is the rule: an idle client keeps no room for more.
-            state.left = VecDeque::new();
+        if state.unwritten.is_empty() {
+            // Most clients have one op in flight: an idle client keeps no buffer for more.
+            state.unwritten = VecDeque::new();
         }
-        self.wrote(state, whole);
+        self.record_written(state, answers_written);
     }
 
-    /// No more commands come: the sending ends with the last answer.
-    pub fn over(&self) {
+    /// Accepts no more commands: the sending side is shut down after the last answer.
+    pub fn finish(&self) {
         let mut state = self.outgoing();
-        state.over = true;
-        self.wrote(&mut state, 0);
+        state.is_finishing = true;
+        self.record_written(&mut state, 0);
     }
 
-    /// It has gone: nothing is owed to it.
+    /// Whether the connection is broken, so that no answers are owed any more.
     pub fn is_disconnected(&self) -> bool {
-        self.outgoing().broken
+        self.outgoing().is_broken
     }
 
-    /// All is written, or nothing more can be.
+    /// Whether all answers are written, or no more can be.
     pub fn is_finished(&self) -> bool {
         let state = self.outgoing();
-        state.broken || (state.over && state.done == state.taken)
+        state.is_broken || (state.is_finishing && state.written == state.accepted)
     }
 
-    fn wrote(&self, state: &mut State, answers: usize) {
-        state.done += answers as u64;
-        self.last.store(self.shared.clock.now() as u64, Relaxed);
+    fn record_written(&self, state: &mut State, answers: usize) {
+        state.written += answers as u64;
+        self.last_active_at.store(self.shared.clock.now() as u64, Relaxed);
         self.pending.fetch_sub(answers, Relaxed);
-        let finished = state.over && state.done == state.taken;
+        let finished = state.is_finishing && state.written == state.accepted;
         if finished {
             drop(self.stream.shutdown(Shutdown::Write));
         }
-        if finished || (answers > 0 && std::mem::take(&mut state.waited_for)) {
+        if finished || (answers > 0 && std::mem::take(&mut state.is_reader_waiting)) {
             self.shared.wake_client(self.id);
         }
     }
 
-    /// Nothing more is written: an answer cut short can only end the connection.
+    /// Drops the unwritten answers and closes the connection: after an answer cut short nothing else can
+    /// follow.
     pub fn abort(&self) {
         self.abort_locked(&mut self.outgoing());
     }
 
     fn abort_locked(&self, state: &mut State) {
-        (state.broken, state.left, state.early) = (true, VecDeque::new(), BTreeMap::new());
-        // Its loop notices the end of reading.
+        (state.is_broken, state.unwritten, state.out_of_order) = (true, VecDeque::new(), BTreeMap::new());
+        // The client loop notices that reading has ended.
         drop(self.stream.shutdown(Shutdown::Both));
     }
 }
--- a/crates/router/src/client_loop.rs
+++ b/crates/router/src/client_loop.rs
@@ -164,7 +164,7 @@
         if mode == before.mode {
             return;
         }
-        self.shared.short.store(mode != SheddingMode::Off, Relaxed);
+        self.shared.is_cpu_limited.store(mode != SheddingMode::Off, Relaxed);
         let (load, clients, cores) = (self.budget.load(), self.shared.clients(), self.shared.limits.cores);
         match mode {
             SheddingMode::Off => tracing::info!(load, cores, clients, "processor time suffices again"),
--- a/crates/router/src/client_loop/tests.rs
+++ b/crates/router/src/client_loop/tests.rs
@@ -30,7 +30,7 @@
         let reader = clients.readers.get_mut(&no).unwrap();
         reader.asks = asks;
         reader.client.pending.store(pending, Relaxed);
-        reader.client.last.fetch_sub(ago, Relaxed);
+        reader.client.last_active_at.fetch_sub(ago, Relaxed);
         clients.evictions.enter(no, reader.standing(clients.shared.clock.now()));
         no
     };
--- a/crates/router/src/client_reader.rs
+++ b/crates/router/src/client_reader.rs
@@ -122,7 +122,7 @@
     /// How it stands towards those who need its place.
     pub fn standing(&self, now: f64) -> crate::eviction::Standing {
         let busy = self.client.pending.load(Relaxed) > 0;
-        let last = if busy { now as u64 } else { self.client.last.load(Relaxed) };
+        let last = if busy { now as u64 } else { self.client.last_active_at.load(Relaxed) };
         crate::eviction::Standing { asks: self.asks, last }
     }
 
@@ -150,7 +150,7 @@
             match (&self.client.stream).read(scratch) {
                 Ok(0) => return self.end(Gone),
                 Ok(n) => {
-                    self.client.last.store(self.shared.clock.now() as u64, Relaxed);
+                    self.client.last_active_at.store(self.shared.clock.now() as u64, Relaxed);
                     let read = &scratch[..n];
                     let taken = if self.buf.is_empty() {
                         self.take_fresh(read)
@@ -180,7 +180,7 @@
 
     /// It can take more of its answers.
     pub fn write_left(&mut self) {
-        let moved = self.client.write_left();
+        let moved = self.client.write_remaining();
         self.watch_slow(moved);
     }
 
@@ -228,11 +228,11 @@
         }
         self.leaving = true;
         // Who asked nothing, or nothing for longer than a drain lasts, has nothing of ours on its way: closed at once.
-        let heard = self.shared.clock.now() - self.client.last.load(Relaxed) as f64;
+        let heard = self.shared.clock.now() - self.client.last_active_at.load(Relaxed) as f64;
         let asked = self.asks || self.faults > 0;
         let on_its_way = asked && (self.client.pending.load(Acquire) > 0 || heard < self.drain_ms());
         self.at_rest = matches!(over, Asked) && !on_its_way;
-        self.client.over();
+        self.client.finish();
         if matches!(over, Told) {
             self.begin_drain();
         }
@@ -443,7 +443,8 @@
         self.events.send(event).map_err(|_| Gone)?;
         // Who is told to come back later and never waits costs more than the ops that it is refused. Outside it
         // waits until there is time to let it in.
-        let early = arrived_at < self.client.retry_at.load(Relaxed) as f64 && self.shared.short.load(Relaxed);
+        let early = arrived_at < self.client.retry_at.load(Relaxed) as f64
+            && self.shared.is_cpu_limited.load(Relaxed);
         self.early += usize::from(early);
         // What has arrived behind this is still taken: dropped, it would be an op without an answer.
         self.leaving |= self.early >= self.shared.limits.early;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `magpiewell-router`.
+//! The `magpiewell-router` program.
 
 use clap::Parser;
 use std::process::ExitCode;
--- a/crates/router/src/op_facts.rs
+++ b/crates/router/src/op_facts.rs
@@ -1,4 +1,4 @@
-//! Admits statements: finds their facts and maps names to small numbers.
+//! Parses a client's statement: reads the facts in its comment and maps names to indexes.
 
 use magpiewell_pg::statement;
 use magpiewell_terms::settings::AdapterOptions;
@@ -6,115 +6,120 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::ops::Range;
 
-/// What ops may say, as the settings name it.
+/// Parses and checks the facts of ops against the op types and tenants of the settings.
 pub struct OpFactsParser {
-    types: HashMap<String, usize>,
+    op_types: HashMap<String, usize>,
     tenants: HashMap<String, usize>,
-    sessions: Vec<bool>,
-    writes: Vec<bool>,
-    tokened: Vec<bool>,
-    marks_repeats: bool,
-    wait_most_ms: f64,
+    has_session: Vec<bool>,
+    is_write: Vec<bool>,
+    is_tokened: Vec<bool>,
+    marks_retries: bool,
+    max_client_timeout_ms: f64,
 }
 
-/// What a statement says of its op.
+/// The facts that a statement states about its op.
 pub struct OpFacts {
-    /// The op's own id, as a number; no two open ops have the same.
+    /// Hash of the id that the client gave the op; no two open ops may have the same.
     pub id: u64,
+    /// Index of the op type in the settings.
     pub op_type: usize,
+    /// Index of the tenant in the settings; 0 where they name none.
     pub tenant: usize,
+    /// Number of the group, as the host list gives it.
     pub cluster: u64,
+    /// Hash of the statement's key where the op type has sessions, else 0.
     pub session: u64,
     pub client_timeout_ms: f64,
     /// Commit of the session's last write, as Unix ms.
     pub after: Option<f64>,
+    /// Whether the op is a retry; none where the settings don't say that clients mark retries.
     pub is_retry: Option<bool>,
     pub writes: bool,
-    /// Where the wait stands in the statement.
+    /// Position of the client timeout in the statement's text.
     pub client_timeout_range: Range<usize>,
 }
 
 impl OpFactsParser {
-    pub fn new(fields: &AdapterOptions, wait_most_ms: f64) -> OpFactsParser {
+    pub fn new(fields: &AdapterOptions, max_client_timeout_ms: f64) -> OpFactsParser {
         let index = |names: &[String]| names.iter().cloned().zip(0..).collect();
         OpFactsParser {
-            types: index(&fields.op_type_names),
+            op_types: index(&fields.op_type_names),
             tenants: index(&fields.tenant_names),
-            sessions: fields.has_session.clone(),
-            writes: fields.is_write.clone(),
-            tokened: fields.is_tokened.clone(),
-            marks_repeats: fields.clients_mark_retries,
-            wait_most_ms,
+            has_session: fields.has_session.clone(),
+            is_write: fields.is_write.clone(),
+            is_tokened: fields.is_tokened.clone(),
+            marks_retries: fields.clients_mark_retries,
+            max_client_timeout_ms,
         }
     }
 
-    /// The facts, or what is wrong with the statement.
+    /// Returns the op's facts, or what is wrong with the statement.
     pub fn parse(&self, text: &str) -> Result<OpFacts, String> {
-        let found = statement::parse(text)?;
-        let (mut kind, mut tenant, mut cluster, mut wait) = (None, None, None, None);
-        let (mut id, mut after, mut repeat, mut token) = (None, None, false, false);
+        let statement = statement::parse(text)?;
+        let (mut op_type, mut tenant, mut cluster, mut client_timeout) = (None, None, None, None);
+        let (mut id, mut after, mut is_retry, mut has_token) = (None, None, false, false);
         let mut seen: Vec<&str> = Vec::with_capacity(8);
-        for (name, at) in statement::attributes(text, found.comment) {
+        for (name, at) in statement::attributes(text, statement.comment) {
             let value = &text[at.clone()];
-            let wrong = || format!("fact '{name}' has no usable value");
+            let invalid = || format!("fact '{name}' has no usable value");
             if name.is_empty() || seen.contains(&name) {
                 return Err("a fact that is none, or is told twice".into());
             }
             seen.push(name);
             match name {
                 "id" => id = Some(value).filter(|id| !id.is_empty()),
-                "k" => token = !value.is_empty(),
-                "c" => kind = Some(*self.types.get(value).ok_or_else(wrong)?),
-                "t" => tenant = Some(*self.tenants.get(value).ok_or_else(wrong)?),
-                "cluster" => cluster = Some(plain(value).and_then(|v| v.parse().ok()).ok_or_else(wrong)?),
+                "k" => has_token = !value.is_empty(),
+                "c" => op_type = Some(*self.op_types.get(value).ok_or_else(invalid)?),
+                "t" => tenant = Some(*self.tenants.get(value).ok_or_else(invalid)?),
+                "cluster" => cluster = Some(decimal(value).and_then(|v| v.parse().ok()).ok_or_else(invalid)?),
                 "d" => {
-                    let ms = plain(value).and_then(|v| v.parse().ok()).ok_or_else(wrong)?;
-                    if !(0.0..=self.wait_most_ms).contains(&ms) {
-                        return Err(wrong());
+                    let ms = decimal(value).and_then(|v| v.parse().ok()).ok_or_else(invalid)?;
+                    if !(0.0..=self.max_client_timeout_ms).contains(&ms) {
+                        return Err(invalid());
                     }
-                    wait = Some((ms, at));
+                    client_timeout = Some((ms, at));
                 }
                 "after" => {
-                    let ms = plain(value).and_then(|v| v.parse().ok()).ok_or_else(wrong)?;
+                    let ms = decimal(value).and_then(|v| v.parse().ok()).ok_or_else(invalid)?;
                     after = Some(ms).filter(|ms: &f64| ms.is_finite());
                 }
-                "r" => repeat = matches!(value, "1").then_some(true).ok_or_else(wrong)?,
+                "r" => is_retry = matches!(value, "1").then_some(true).ok_or_else(invalid)?,
                 _ => {}
             }
         }
-        let kind = kind.ok_or("fact 'c' is missing")?;
-        let (wait_ms, wait_at) = wait.ok_or("fact 'd' is missing")?;
+        let op_type = op_type.ok_or("fact 'c' is missing")?;
+        let (client_timeout_ms, client_timeout_range) = client_timeout.ok_or("fact 'd' is missing")?;
         if tenant.is_none() && !self.tenants.is_empty() {
             return Err("fact 't' is missing".into());
         }
-        if found.writes != self.writes[kind] {
+        if statement.writes != self.is_write[op_type] {
             return Err("the statement does not do what its op type says".into());
         }
-        if self.tokened[kind] && !token {
+        if self.is_tokened[op_type] && !has_token {
             return Err("fact 'k' is missing".into());
         }
         Ok(OpFacts {
-            id: number(id.ok_or("fact 'id' is missing")?),
-            op_type: kind,
+            id: hash_name(id.ok_or("fact 'id' is missing")?),
+            op_type,
             tenant: tenant.unwrap_or(0),
             cluster: cluster.ok_or("fact 'cluster' is missing")?,
-            session: if self.sessions[kind] { number(&text[found.key]) } else { 0 },
-            client_timeout_ms: wait_ms,
+            session: if self.has_session[op_type] { hash_name(&text[statement.key]) } else { 0 },
+            client_timeout_ms,
             after,
-            is_retry: self.marks_repeats.then_some(repeat),
-            writes: found.writes,
-            client_timeout_range: wait_at,
+            is_retry: self.marks_retries.then_some(is_retry),
+            writes: statement.writes,
+            client_timeout_range,
         })
     }
 }
 
-/// A number in plain digits, maybe with a point: no sign, no exponent, no word.
-fn plain(value: &str) -> Option<&str> {
+/// Accepts an unsigned decimal number: digits, possibly with a point; no sign, exponent or word.
+fn decimal(value: &str) -> Option<&str> {
     let digits = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     (digits && value.starts_with(|c: char| c.is_ascii_digit())).then_some(value)
 }
 
-fn number(name: &str) -> u64 {
+fn hash_name(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish().max(1)
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,4 +1,5 @@
-//! What all threads of a router share: limits, clock, counts, and how the clients' loop is woken. Knows no stage.
+//! State that all threads of a router share: limits, clock, counters and the wake-up of the client loop.
+//! Depends on none of the threads' own modules.
 
 use crate::clock::Clock;
 use crate::limits::Limits;
@@ -11,29 +12,31 @@
 };
 use std::thread::{Builder, JoinHandle};
 
-/// What the laboratory's own program adds to a router, so that a test's verdict does not hang on the machine; nothing
-/// by default, and no configuration can ask for it.
+/// What the laboratory's own program changes in a router so that a test's verdict does not depend on the
+/// speed of the machine. Empty by default; no configuration can set it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LabOverrides {
-    /// Processor time that each send of an op takes on top of its own, in ms, from 0.
+    /// Processor time that each send of an op takes on top of its own, in ms; 0 or more.
     pub send_work_ms: f64,
-    /// The router's clock runs so many ms before the machine's; behind it where negative.
+    /// How far the router's clock runs ahead of the machine's, in ms; negative where it runs behind.
     pub clock_off_ms: f64,
 }
 
+/// The shared state; every thread holds an `Arc` of it.
 pub struct Shared {
     pub limits: Limits,
     pub overrides: LabOverrides,
     pub clock: Clock,
-    /// A list of hosts is known.
+    /// Whether a host list is known.
     pub ready: AtomicBool,
-    /// How long the loops sleep between two turns, in microseconds: see the budget's `AdmissionLimits`.
+    /// How long the loops sleep between two iterations, in microseconds: see the budget's `AdmissionLimits`.
     pub batch_pause_us: AtomicU64,
     /// Ops refused as busy since the start.
     pub refused: AtomicUsize,
-    /// Processor time is short.
-    pub short: AtomicBool,
-    /// When all that is taken must be answered, in whole ms on the clock; far off until a request to stop.
+    /// Whether processor time is short, so that opens wait or ops are refused.
+    pub is_cpu_limited: AtomicBool,
+    /// By when every accepted command has to be answered, in whole Unix ms; `u64::MAX` until a stop is
+    /// requested.
     stop_deadline: AtomicU64,
     pub threads: AtomicUsize,
     pub reserved_bytes: AtomicUsize,
@@ -44,7 +47,7 @@
 }
 
 impl Shared {
-    /// `wakeups` takes numbers of clients that their loop is to look at; `waker` wakes it.
+    /// `wakeups` takes the ids of clients that the client loop is to serve; `waker` wakes the loop.
     pub fn new(
         limits: Limits,
         overrides: LabOverrides,
@@ -59,7 +62,7 @@
             ready: AtomicBool::new(false),
             batch_pause_us: AtomicU64::new(0),
             refused: AtomicUsize::new(0),
-            short: AtomicBool::new(false),
+            is_cpu_limited: AtomicBool::new(false),
             stop_deadline: AtomicU64::new(u64::MAX),
             threads: AtomicUsize::new(0),
             reserved_bytes: AtomicUsize::new(0),
@@ -69,26 +72,27 @@
         })
     }
 
-    /// The router was asked to stop.
+    /// Starts the shutdown: sets its deadline and wakes the client loop.
     pub fn request_stop(&self) {
-        let by = self.clock.now() + self.limits.stop.as_secs_f64() * 1000.0;
-        self.stop_deadline.store(by as u64, Release);
+        let deadline = self.clock.now() + self.limits.stop.as_secs_f64() * 1000.0;
+        self.stop_deadline.store(deadline as u64, Release);
         let _ = self.waker.wake();
     }
 
-    /// When all that is taken must be answered; far off while nobody has asked to stop.
+    /// By when every accepted command has to be answered, in Unix ms; far in the future until a stop is
+    /// requested.
     pub fn stop_deadline(&self) -> f64 {
         self.stop_deadline.load(Acquire) as f64
     }
 
-    /// A stop has been asked for.
+    /// Whether a stop has been requested.
     pub fn is_stopping(&self) -> bool {
         self.stop_deadline.load(Acquire) != u64::MAX
     }
 
-    /// That long after a request to stop.
-    pub fn after_stop_request(&self, after: std::time::Duration) -> f64 {
-        self.stop_deadline() - (self.limits.stop.saturating_sub(after)).as_secs_f64() * 1000.0
+    /// The time at which `delay` has passed since the request to stop; far in the future until then.
+    pub fn after_stop_request(&self, delay: std::time::Duration) -> f64 {
+        self.stop_deadline() - (self.limits.stop.saturating_sub(delay)).as_secs_f64() * 1000.0
     }
 
     pub fn clients(&self) -> usize {
@@ -104,19 +108,19 @@
         self.clients.fetch_sub(1, Relaxed);
     }
 
-    /// Uses up the processor time that a send takes in the laboratory.
+    /// Uses up the processor time that the laboratory adds to each send.
     pub fn simulate_send_work(&self) {
-        let used = || {
+        let thread_cpu_ms = || {
             let used = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
             used.tv_sec as f64 * 1e3 + used.tv_nsec as f64 / 1e6
         };
         if self.overrides.send_work_ms > 0.0 {
-            let from = used();
-            while used() - from < self.overrides.send_work_ms {}
+            let start = thread_cpu_ms();
+            while thread_cpu_ms() - start < self.overrides.send_work_ms {}
         }
     }
 
-    /// Where processor time is getting short: lets work come together before a loop goes on.
+    /// Where processor time is getting short: sleeps, so that a loop handles more work in one iteration.
     pub fn pause_to_batch(&self) {
         let us = self.batch_pause_us.load(Relaxed);
         if us > 0 {
@@ -124,24 +128,24 @@
         }
     }
 
-    /// Has the clients' loop look at one of them.
+    /// Has the client loop serve this client.
     pub fn wake_client(&self, client: u64) {
-        // Once the loop has ended nobody is left to be looked at.
+        // After the loop has ended the client is no longer served, so failures don't matter.
         let _ = self.wakeups.send(client);
         let _ = self.waker.wake();
     }
 
-    /// Starts a thread with a small stack, if one is to be had.
+    /// Starts a thread with a small stack; none where the system refuses one.
     pub fn spawn(
         self: &Arc<Shared>,
         name: &str,
-        work: impl FnOnce() + Send + 'static,
+        body: impl FnOnce() + Send + 'static,
     ) -> Option<JoinHandle<()>> {
         let shared = self.clone();
         self.threads.fetch_add(1, Relaxed);
         let thread = Builder::new().name(name.into()).stack_size(self.limits.stack_bytes);
         let spawned = thread.spawn(move || {
-            work();
+            body();
             shared.threads.fetch_sub(1, Relaxed);
         });
         if spawned.is_err() {
@@ -150,20 +154,20 @@
         spawned.ok()
     }
 
-    /// Counts bytes as held until the share is dropped; none where there would be too many.
+    /// Counts bytes as in use until the reservation is dropped; none where that would exceed the limit.
     pub fn try_reserve(self: &Arc<Shared>, bytes: usize) -> Option<MemoryReservation> {
-        let held = self.reserve(bytes);
-        (self.reserved_bytes.load(Relaxed) <= self.limits.held_bytes).then_some(held)
+        let reservation = self.reserve(bytes);
+        (self.reserved_bytes.load(Relaxed) <= self.limits.held_bytes).then_some(reservation)
     }
 
-    /// Counts bytes that are here already, be there too many or not.
+    /// Counts bytes that are already in memory, even where they exceed the limit.
     pub fn reserve(self: &Arc<Shared>, bytes: usize) -> MemoryReservation {
         self.reserved_bytes.fetch_add(bytes, Relaxed);
         MemoryReservation { shared: self.clone(), bytes }
     }
 }
 
-/// A share of the bytes held at once.
+/// A share of the memory limit for statements, answers and long buffers; released on drop.
 pub struct MemoryReservation {
     shared: Arc<Shared>,
     bytes: usize,
@@ -175,13 +179,13 @@
     }
 }
 
-/// A shared for tests of what works in it.
+/// A `Shared` for unit tests.
 #[cfg(test)]
 pub fn test_shared() -> Arc<Shared> {
     test_shared_with(|_| ())
 }
 
-/// The same with other limits.
+/// The same with changed limits.
 #[cfg(test)]
 pub fn test_shared_with(change: impl FnOnce(&mut Limits)) -> Arc<Shared> {
     let mut limits =
--- a/crates/router/src/signals.rs
+++ b/crates/router/src/signals.rs
@@ -1,4 +1,4 @@
-//! What signals ask for: a new configuration, or an end.
+//! Signals: SIGHUP reloads the configuration, SIGTERM and SIGINT stop the router.
 
 use crate::shared::Shared;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -8,8 +8,8 @@
     Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(|e| format!("cannot listen to signals: {e}"))
 }
 
-/// Waits for a request to stop and passes it on; reloads meanwhile. The clients' loop then serves on for a while,
-/// shows its clients out between their requests, and ends.
+/// Handles signals until one of them requests a stop, then starts the shutdown. The client loop goes on
+/// serving for a while, closes its clients between their requests, and ends.
 pub fn wait(shared: &Shared, signals: &mut Signals, reload: impl Fn()) {
     let signal = signals.forever().find(|signal| {
         if *signal == SIGHUP {
