--- a/crates/router/src/client_loop.rs
+++ b/crates/router/src/client_loop.rs
@@ -1,11 +1,11 @@
-//! The clients' loop: one thread accepts clients, watches all of their connections, and gives a turn to those that
-//! have something to say, can take more of their answers, or have run out of time. A connection that says nothing
-//! has no thread and costs nothing but its descriptor.
+//! The client loop: one thread that accepts clients, polls all of their connections and serves those that can
+//! be read or written or whose deadline has passed. An idle connection has no thread and costs nothing but
+//! its descriptor.
 
 use crate::client::Client;
-use crate::client_reader::{Reader, Turn};
+use crate::client_reader::{ClientReader, Outcome};
 use crate::event::Event;
-use crate::eviction::{EvictionOrder, Standing};
+use crate::eviction::{ClientActivity, EvictionOrder};
 use crate::op_facts::OpFactsParser;
 use crate::shared::Shared;
 use crate::timers::Timers;
@@ -21,45 +21,47 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-/// Wakes the loop; clients' numbers begin behind it.
+/// Token that wakes the loop; client ids begin behind the two tokens.
 pub const WAKE: Token = Token(0);
 const LISTENER: Token = Token(1);
-const FIRST: u64 = 2;
+const FIRST_CLIENT: u64 = 2;
+
+/// Accepts, serves, drains and evicts clients, within the limits and the budget of processor time.
 
 pub struct ClientLoop {
     shared: Arc<Shared>,
-    names: Arc<OpFactsParser>,
+    parser: Arc<OpFactsParser>,
     events: Sender<Event>,
     poll: Poll,
-    /// None once nobody else is let in.
+    /// None once no more clients are accepted.
     listener: Option<TcpListener>,
-    /// Somebody may be waiting to be accepted.
-    acceptable: bool,
+    /// Whether clients may be waiting to be accepted.
+    may_accept: bool,
     wakeups: Receiver<u64>,
-    readers: HashMap<u64, Reader>,
-    /// How many of them are on their way out.
-    leaving: usize,
+    readers: HashMap<u64, ClientReader>,
+    /// How many of the readers are draining.
+    draining: usize,
     evictions: EvictionOrder,
     timers: Timers,
-    /// Those that had more to say than one turn takes.
-    more: Vec<u64>,
+    /// Clients that may have more to read than one turn allows.
+    queued: Vec<u64>,
     scratch: Vec<u8>,
     next: u64,
     budget: Budget,
     room: AdmissionLimits,
     opens: AcceptLimiter,
     budget_at: f64,
-    /// Until when the queue is still looked at; none before the grace is over.
-    last_look: Option<f64>,
-    /// All are being closed gracefully.
-    emptying: bool,
+    /// Until when clients are still accepted from the queue; none before the grace period is over.
+    accept_until: Option<f64>,
+    /// Whether all clients are being drained.
+    is_draining_all: bool,
 }
 
 impl ClientLoop {
-    /// The listener must not wait in its calls.
+    /// The listener has to be non-blocking.
     pub fn new(
         shared: Arc<Shared>,
-        names: Arc<OpFactsParser>,
+        parser: Arc<OpFactsParser>,
         events: Sender<Event>,
         poll: Poll,
         listener: TcpListener,
@@ -74,78 +76,78 @@
             opens: AcceptLimiter::default(),
             budget_at: 0.0,
             shared,
-            names,
+            parser,
             events,
             poll,
             listener: Some(listener),
-            acceptable: true,
+            may_accept: true,
             wakeups,
             readers: HashMap::new(),
-            leaving: 0,
+            draining: 0,
             evictions: EvictionOrder::default(),
             timers: Timers::default(),
-            more: Vec::new(),
+            queued: Vec::new(),
             scratch,
-            next: FIRST,
-            last_look: None,
-            emptying: false,
+            next: FIRST_CLIENT,
+            accept_until: None,
+            is_draining_all: false,
         })
     }
 
-    /// Runs until the router has been asked to stop and all clients have gone.
+    /// Runs until the router was asked to stop and all clients have disconnected.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(self.shared.limits.events);
         loop {
             self.shared.pause_to_batch();
-            let wait = self.wait();
-            match self.poll.poll(&mut events, Some(wait)) {
+            let timeout = self.poll_timeout();
+            match self.poll.poll(&mut events, Some(timeout)) {
                 Err(e) if e.kind() != std::io::ErrorKind::Interrupted => {
-                    tracing::error!(error = %e, "clients can't be watched");
+                    tracing::error!(error = %e, "cannot poll client connections");
                     std::thread::sleep(self.shared.limits.accept_check);
                 }
                 _ => {}
             }
             for event in &events {
-                let no = event.token().0 as u64;
+                let id = event.token().0 as u64;
                 match event.token() {
                     WAKE => {}
-                    LISTENER => self.acceptable = true,
-                    _ if event.is_writable() && !event.is_readable() => self.writes_on(no),
+                    LISTENER => self.may_accept = true,
+                    _ if event.is_writable() && !event.is_readable() => self.write_remaining(id),
                     _ => {
                         if event.is_writable() {
-                            self.writes_on(no);
+                            self.write_remaining(id);
                         }
                         let hung_up = event.is_read_closed() || event.is_error();
-                        self.give(no, |reader, scratch| {
+                        self.serve(id, |reader, scratch| {
                             reader.hung_up |= hung_up;
-                            reader.turn(scratch, false)
+                            reader.serve(scratch, false)
                         });
                     }
                 }
             }
-            while let Ok(no) = self.wakeups.try_recv() {
-                self.give(no, |reader, scratch| reader.turn(scratch, false));
+            while let Ok(id) = self.wakeups.try_recv() {
+                self.serve(id, |reader, scratch| reader.serve(scratch, false));
             }
-            for no in std::mem::take(&mut self.more) {
-                self.give(no, |reader, scratch| {
-                    reader.in_line = false;
-                    reader.turn(scratch, true)
+            for id in std::mem::take(&mut self.queued) {
+                self.serve(id, |reader, scratch| {
+                    reader.is_queued = false;
+                    reader.serve(scratch, true)
                 });
             }
-            self.keep_budget();
+            self.update_budget();
             self.accept();
-            while let Some(no) = self.timers.pop_due(self.shared.clock.now()) {
-                self.give(no, Reader::overdue);
+            while let Some(id) = self.timers.pop_due(self.shared.clock.now()) {
+                self.serve(id, ClientReader::handle_deadline);
             }
-            self.thin_out();
-            if self.stops() {
+            self.drain_idle();
+            if self.advance_shutdown() {
                 return;
             }
         }
     }
 
-    /// Looks at the processor time that the process has used, and tells what may be let in for the rest.
-    fn keep_budget(&mut self) {
+    /// Measures the processor time that the process has used, and sets what may be admitted from it.
+    fn update_budget(&mut self) {
         let now = self.shared.clock.now();
         if now < self.budget_at {
             return;
@@ -188,93 +190,98 @@
         }
     }
 
-    /// How long the loop may sleep.
-    fn wait(&self) -> Duration {
+    /// How long the loop may block in its poll.
+    fn poll_timeout(&self) -> Duration {
         let limits = &self.shared.limits;
-        if !self.more.is_empty() {
+        if !self.queued.is_empty() {
             return Duration::ZERO;
         }
-        // Somebody acceptable and there is no room, or all are to go: looked at more often.
-        let beat =
-            if self.acceptable || self.emptying { limits.accept_check / 10 } else { limits.accept_check };
-        let next = self.timers.next_due().map_or(beat, |due| self.shared.clock.until(due));
-        next.min(beat)
+        // Checked more often while clients wait for room, or while all are drained.
+        let interval = if self.may_accept || self.is_draining_all {
+            limits.accept_check / 10
+        } else {
+            limits.accept_check
+        };
+        let next = self.timers.next_due().map_or(interval, |due| self.shared.clock.until(due));
+        next.min(interval)
     }
 
-    /// Gives a client its turn, and keeps the books about what comes of it.
-    fn give(&mut self, no: u64, turn: impl FnOnce(&mut Reader, &mut [u8]) -> Turn) {
-        let Some(reader) = self.readers.get_mut(&no) else { return };
-        let (left, asked) = (reader.leaving, reader.asks);
-        let what = turn(reader, &mut self.scratch);
-        self.leaving += usize::from(reader.leaving && !left);
-        match what {
-            Turn::Gone => {
-                self.leaving -= usize::from(reader.leaving);
-                self.readers.remove(&no);
-                self.evictions.leave(no);
-                self.timers.set(no, None);
+    /// Serves a client with `turn`, and records what comes of it.
+    fn serve(&mut self, id: u64, turn: impl FnOnce(&mut ClientReader, &mut [u8]) -> Outcome) {
+        let Some(reader) = self.readers.get_mut(&id) else { return };
+        let (was_draining, had_valid_op) = (reader.is_draining, reader.has_valid_op);
+        let outcome = turn(reader, &mut self.scratch);
+        self.draining += usize::from(reader.is_draining && !was_draining);
+        match outcome {
+            Outcome::Closed => {
+                self.draining -= usize::from(reader.is_draining);
+                self.readers.remove(&id);
+                self.evictions.remove(id);
+                self.timers.set(id, None);
                 return;
             }
-            // Once, however often it is looked at meanwhile: else a flood would gain turns, and room, with each.
-            Turn::More if !std::mem::replace(&mut reader.in_line, true) => self.more.push(no),
-            Turn::More => {}
-            Turn::Wait => {}
+            // Queued once, however often it is served meanwhile: a flood would else gain a turn, and memory,
+            // each time.
+            Outcome::ReadMore if !std::mem::replace(&mut reader.is_queued, true) => self.queued.push(id),
+            Outcome::ReadMore => {}
+            Outcome::Wait => {}
         }
-        if reader.is_slow() && !std::mem::replace(&mut reader.watched, true) {
+        if reader.is_slow() && !std::mem::replace(&mut reader.watches_writable, true) {
             let stream = reader.client.stream.as_raw_fd();
             let both = Interest::READABLE | Interest::WRITABLE;
-            let watched = self.poll.registry().reregister(&mut SourceFd(&stream), Token(no as usize), both);
+            let watched = self.poll.registry().reregister(&mut SourceFd(&stream), Token(id as usize), both);
             if watched.is_err() {
-                // Nobody would tell when it takes more.
+                // Without the watch the loop would not notice when it can write the rest.
                 reader.client.abort();
             }
         }
-        self.timers.set(no, reader.due());
-        if reader.leaving {
-            self.evictions.leave(no);
-        } else if reader.asks != asked {
-            self.evictions.enter(no, reader.standing(self.shared.clock.now()));
+        self.timers.set(id, reader.next_deadline());
+        if reader.is_draining {
+            self.evictions.remove(id);
+        } else if reader.has_valid_op != had_valid_op {
+            self.evictions.insert(id, reader.activity(self.shared.clock.now()));
         }
     }
 
-    fn writes_on(&mut self, no: u64) {
-        self.give(no, |reader, _| {
-            reader.write_left();
-            Turn::Wait
+    fn write_remaining(&mut self, id: u64) {
+        self.serve(id, |reader, _| {
+            reader.write_remaining();
+            Outcome::Wait
         });
     }
 
-    /// Clients that nobody has asked to go.
-    fn staying(&self) -> usize {
-        self.readers.len() - self.leaving
+    /// Clients that are not draining.
+    fn not_draining(&self) -> usize {
+        self.readers.len() - self.draining
     }
 
-    /// Accepts those who wait, a few at a time, while there is room.
+    /// Accepts waiting clients, a few per iteration, while there is room.
     fn accept(&mut self) {
         for _ in 0..self.shared.limits.accepts_a_turn {
             let limits = &self.shared.limits;
-            if !self.acceptable {
+            if !self.may_accept {
                 return;
             }
-            // Full: somebody makes room at once, so that accepting keeps pace with those who only take up evictions.
-            // Where all are busy, or too many are still on their way out, those outside wait in the queue.
-            let (clients, most) = (limits.clients, limits.clients + limits.leaving);
-            let room = self.staying() < clients || self.make_room();
-            if !room || self.shared.clients() >= most {
+            // Full: a client is evicted at once, so that accepting keeps pace with silent clients, which only
+            // use up evictions. Where all are busy, or too many are still draining, new ones wait in the
+            // accept queue.
+            let (max_clients, max_connections) = (limits.clients, limits.clients + limits.leaving);
+            let room = self.not_draining() < max_clients || self.make_room();
+            if !room || self.shared.clients() >= max_connections {
                 return;
             }
             let Some(listener) = &self.listener else { return };
-            // A connection in the system's queue costs nothing, an open one does.
+            // A connection in the kernel's accept queue costs nothing, an open one does.
             if !self.opens.take(self.shared.clock.now(), self.room.accepts_per_second) {
                 return;
             }
             match rustix::net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
-                Ok(stream) => self.welcome(TcpStream::from(stream)),
-                Err(rustix::io::Errno::WOULDBLOCK) => self.acceptable = false,
+                Ok(stream) => self.add_client(TcpStream::from(stream)),
+                Err(rustix::io::Errno::WOULDBLOCK) => self.may_accept = false,
                 Err(rustix::io::Errno::INTR | rustix::io::Errno::CONNABORTED) => {}
                 Err(e) => {
-                    // Out of descriptors or memory: it costs new connections, never the router.
-                    tracing::warn!(error = %e, clients = self.shared.clients(), "cannot accept");
+                    // Out of descriptors or memory: costs new connections, but never the router.
+                    tracing::warn!(error = %e, clients = self.shared.clients(), "cannot accept a client");
                     self.make_room();
                     return;
                 }
@@ -282,85 +289,99 @@
         }
     }
 
-    fn welcome(&mut self, stream: TcpStream) {
-        let no = self.next;
+    fn add_client(&mut self, stream: TcpStream) {
+        let id = self.next;
         self.next += 1;
-        // For writing only once it is slow, which spares a wake for each that comes.
-        let (token, reads) = (Token(no as usize), Interest::READABLE);
+        // Watched for writing only once it is slow, which saves a wake-up per client.
+        let (token, reads) = (Token(id as usize), Interest::READABLE);
         if self.poll.registry().register(&mut SourceFd(&stream.as_raw_fd()), token, reads).is_err() {
             return;
         }
-        let reader =
-            Reader::new(&self.shared, &self.names, &self.events, Client::new(&self.shared, no, stream));
-        self.evictions.enter(no, reader.standing(self.shared.clock.now()));
-        self.timers.set(no, reader.due());
-        self.readers.insert(no, reader);
+        let reader = ClientReader::new(
+            &self.shared,
+            &self.parser,
+            &self.events,
+            Client::new(&self.shared, id, stream),
+        );
+        self.evictions.insert(id, reader.activity(self.shared.clock.now()));
+        self.timers.set(id, reader.next_deadline());
+        self.readers.insert(id, reader);
     }
 
-    /// The client that has been quiet longest among those that ask or those that don't, if for longer than that.
-    fn quietest(&mut self, asks: bool, least_ms: f64) -> Option<u64> {
+    /// The client that has been idle longest and at least for `min_idle_ms`, among those whose last command
+    /// was a valid op or those whose last was not.
+    fn longest_idle(&mut self, has_valid_op: bool, min_idle_ms: f64) -> Option<u64> {
         let now = self.shared.clock.now();
         let readers = &self.readers;
-        let like =
-            |no: u64| readers.get(&no).map_or(Standing { asks, last: 0 }, |reader| reader.standing(now));
-        self.evictions.quietest(asks, (now - least_ms) as u64, like)
+        let current_activity = |id: u64| {
+            readers
+                .get(&id)
+                .map_or(ClientActivity { has_valid_op, last_active_at: 0 }, |reader| reader.activity(now))
+        };
+        self.evictions.longest_idle(has_valid_op, (now - min_idle_ms) as u64, current_activity)
     }
 
-    /// Asks one client to go: the first that has asked nothing yet or nothing but faults, unless it has only just
-    /// come and may be about to, else whoever has been idle longest, if for long enough. False where none is.
+    /// Drains one client to make room: the one idle longest of those that have sent no valid op yet or
+    /// nothing but faults since, unless it has only just connected and may be about to send one; else the one
+    /// idle longest of the others, if for long enough. False where there is none.
     fn make_room(&mut self) -> bool {
         let (silent_ms, idle_ms) = (self.shared.limits.silent_ms, self.shared.limits.idle_ms);
-        let first = self.quietest(false, silent_ms).or_else(|| self.quietest(true, idle_ms));
-        first.inspect(|no| self.give(*no, Reader::close_gracefully)).is_some()
+        let candidate = self.longest_idle(false, silent_ms).or_else(|| self.longest_idle(true, idle_ms));
+        candidate.inspect(|id| self.serve(*id, ClientReader::drain)).is_some()
     }
 
-    /// Who asks once and stays keeps others out, whose own limit counts those connections too.
-    fn thin_out(&mut self) {
-        while self.staying() > self.shared.limits.crowd {
+    /// Drains idle clients beyond the crowd limit: one that sends an op and stays would keep others out,
+    /// whose own limits count such connections too.
+    fn drain_idle(&mut self) {
+        while self.not_draining() > self.shared.limits.crowd {
             let idle_ms = self.shared.limits.idle_ms;
-            let first = self.quietest(false, idle_ms).or_else(|| self.quietest(true, idle_ms));
-            let Some(no) = first else { return };
-            self.give(no, Reader::close_gracefully);
+            let candidate = self.longest_idle(false, idle_ms).or_else(|| self.longest_idle(true, idle_ms));
+            let Some(id) = candidate else { return };
+            self.serve(id, ClientReader::drain);
         }
     }
 
-    /// After a request to stop: lets clients in for a while, serves on, shows all out between their requests. True
-    /// once nobody is left.
-    fn stops(&mut self) -> bool {
+    /// Advances the shutdown once it is requested: accepts clients for the grace period, goes on serving,
+    /// then drains all clients between their requests. True once none is left.
+    fn advance_shutdown(&mut self) -> bool {
         let (now, limits) = (self.shared.clock.now(), &self.shared.limits);
-        let cut_at = self.shared.stop_deadline() + limits.cut.as_secs_f64() * 1000.0;
+        let disconnect_at = self.shared.stop_deadline() + limits.cut.as_secs_f64() * 1000.0;
         if now < self.shared.after_stop_request(limits.grace) {
             return false;
         }
-        // Who stands in the queue as it closes is lost, so it is looked at once more; where the router was held up, it
-        // has its time for that all the same. Some go on connecting whatever happens: emptied, but not for ever.
-        let Some(last_look) = self.last_look else {
-            self.last_look = Some(now + limits.last_look.as_secs_f64() * 1000.0);
-            self.acceptable = self.listener.is_some();
+        // Clients in the accept queue are lost when it closes, so they are accepted in one last period, which
+        // lasts its full time even where the router was delayed. It is limited, as some clients go on
+        // connecting whatever happens.
+        let Some(accept_until) = self.accept_until else {
+            self.accept_until = Some(now + limits.last_look.as_secs_f64() * 1000.0);
+            self.may_accept = self.listener.is_some();
             return false;
         };
-        if self.listener.is_some() && (now >= last_look || !self.acceptable) {
-            (self.listener, self.acceptable) = (None, false);
+        if self.listener.is_some() && (now >= accept_until || !self.may_accept) {
+            (self.listener, self.may_accept) = (None, false);
             tracing::info!(clients = self.shared.clients(), "no more clients are let in");
         }
-        if self.listener.is_none() && !self.emptying && now >= self.shared.after_stop_request(limits.linger) {
-            self.emptying = true;
+        if self.listener.is_none()
+            && !self.is_draining_all
+            && now >= self.shared.after_stop_request(limits.linger)
+        {
+            self.is_draining_all = true;
             let (all, clients): (Vec<u64>, _) =
                 (self.readers.keys().copied().collect(), self.shared.clients());
-            for no in all {
-                self.give(no, Reader::close_gracefully);
+            for id in all {
+                self.serve(id, ClientReader::drain);
             }
-            // Said once all have been read for the last time.
+            // Logged after each has been read for the last time.
             tracing::info!(clients, "closing clients between requests");
         }
-        // Who takes no answer, or writes without end, does not delay the end.
-        if self.emptying && now >= cut_at {
-            tracing::info!(clients = self.readers.len(), "breaking off clients that are left");
+        // A client that reads no answer, or writes without end, must not delay the shutdown.
+        if self.is_draining_all && now >= disconnect_at {
+            tracing::info!(clients = self.readers.len(), "disconnecting the remaining clients");
             let all: Vec<u64> = self.readers.keys().copied().collect();
-            all.into_iter().for_each(|no| self.give(no, |reader, _| reader.cut_off()));
+            all.into_iter().for_each(|id| self.serve(id, |reader, _| reader.disconnect()));
             return true;
         }
-        self.emptying && self.shared.clients() == 0
+        self.is_draining_all && self.shared.clients() == 0
     }
 }
 
--- a/crates/router/src/client_reader.rs
+++ b/crates/router/src/client_reader.rs
@@ -1,5 +1,6 @@
-//! Takes commands in: what one client has written, read as far as it goes without waiting, framed, checked and
-//! handed on. The clients' loop (`client_loop.rs`) calls it when there may be something to read or a time is up.
+//! Reads one client's commands: takes what the socket has without blocking, splits it into messages, checks
+//! them and passes ops to the decision thread. The client loop (`client_loop.rs`) calls it when there may be
+//! something to read or a deadline has passed.
 
 use crate::client::Client;
 use crate::event::{Event, Statement};
@@ -11,339 +12,353 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::{Acquire, Relaxed};
 
-/// What becomes of a client after its turn.
+/// What the client loop does with a client after its turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// It has said all that it has to say for now.
+pub enum Outcome {
+    /// Nothing more to read for now.
     Wait,
-    /// There is more to read; others come first.
-    More,
-    /// It is of no more concern to the loop.
-    Gone,
+    /// There may be more to read, after other clients have had their turn.
+    ReadMore,
+    /// The connection is done with and is removed.
+    Closed,
 }
 
-pub struct Reader {
+/// The input side of one client connection.
+
+pub struct ClientReader {
     shared: Arc<Shared>,
-    names: Arc<OpFactsParser>,
+    parser: Arc<OpFactsParser>,
     events: Sender<Event>,
     pub client: Arc<Client>,
-    /// What has been read and not been taken: part of a message, or whole ones that wait for answers before them.
+    /// What has been read but not processed: part of a message, or whole ones that wait for answers before
+    /// them.
     buf: Vec<u8>,
-    /// Room for a long message, while one is half there.
-    held: Option<MemoryReservation>,
-    opened: bool,
-    /// Commands are passed over up to the next Sync.
-    skipping: bool,
-    /// Too many answers are still to be written: nothing more is taken until some are.
-    paused: bool,
-    /// What it asked last was no fault; not yet so where it has asked nothing.
-    pub asks: bool,
-    /// Is on its way out: its place counts as free. What was taken is still answered.
-    pub leaving: bool,
-    /// It has ended its sending or its connection: whatever it wrote before, it waits for nothing any more.
+    /// Memory for a long message while part of it is buffered.
+    reservation: Option<MemoryReservation>,
+    is_opened: bool,
+    /// Messages are skipped up to the next Sync.
+    is_skipping: bool,
+    /// Too many answers are unwritten: no command is accepted until some are written.
+    is_paused: bool,
+    /// Whether its last command was a valid op; false until the first one.
+    pub has_valid_op: bool,
+    /// Whether the client is being drained: its place counts as free, accepted commands are still answered.
+    pub is_draining: bool,
+    /// The client has closed its sending side or the connection: it no longer waits for any answer.
     pub hung_up: bool,
-    /// Nothing more is taken from it.
-    over: bool,
-    /// Bytes that are still read and dropped once nothing more is sent to it: left unread as the connection closes,
-    /// they would take with them what it has not read yet.
-    drain: Option<usize>,
-    /// Nothing that was sent to it can still be on its way.
-    at_rest: bool,
-    /// Faulty commands in a row, and ops that came sooner than it was told while processor time was short.
-    faults: usize,
-    early: usize,
-    /// When what is being said must be over: the opening, a command that has begun, or the drain.
-    due: Option<f64>,
-    /// When it must have taken more of its answers.
-    write_due: Option<f64>,
-    /// The loop hears when it can take more.
-    pub watched: bool,
-    /// Stands in line for another turn.
-    pub in_line: bool,
+    /// No more commands are accepted.
+    is_input_ended: bool,
+    /// Bytes that are still read and discarded after the last answer: closing a connection with unread bytes
+    /// resets it, and the client would lose answers that it has not read yet.
+    discard_left: Option<usize>,
+    /// Nothing that was sent to the client can still be in flight.
+    is_delivered: bool,
+    /// Faulty commands in a row.
+    consecutive_faults: usize,
+    /// Ops sent before the retry time that the client was given, while processor time was short.
+    early_ops: usize,
+    /// Deadline of the startup, of a command that has begun, or of discarding.
+    read_deadline: Option<f64>,
+    /// Deadline by which the client must have read more of its answers.
+    write_deadline: Option<f64>,
+    /// Whether the loop also watches for the socket to become writable.
+    pub watches_writable: bool,
+    /// Whether the client is queued for another turn.
+    pub is_queued: bool,
 }
 
-/// Reading is over.
-enum Over {
-    /// The client has gone, or can't be served: what it asked is owed to nobody.
-    Gone,
-    /// It was told why, and what it writes can't be followed any further; what it asked before is still answered.
-    Told,
-    /// The router ends the connection between two of its commands.
-    Asked,
+/// Why no more commands are accepted.
+enum InputEnd {
+    /// The client has disconnected or can't be served: its open commands need no answer.
+    Disconnected,
+    /// The client was sent a fatal error, and its stream can't be followed any further; earlier commands are
+    /// still answered.
+    ErrorSent,
+    /// The router closes the connection between two commands.
+    ClosedByRouter,
 }
-use Over::{Asked, Gone, Told};
+use InputEnd::{ClosedByRouter, Disconnected, ErrorSent};
 
-impl Reader {
+impl ClientReader {
     pub fn new(
         shared: &Arc<Shared>,
-        names: &Arc<OpFactsParser>,
+        parser: &Arc<OpFactsParser>,
         events: &Sender<Event>,
         client: Arc<Client>,
-    ) -> Reader {
-        let due = Some(shared.clock.now() + shared.limits.opening_ms);
-        Reader {
+    ) -> ClientReader {
+        let read_deadline = Some(shared.clock.now() + shared.limits.opening_ms);
+        ClientReader {
             shared: shared.clone(),
-            names: names.clone(),
+            parser: parser.clone(),
             events: events.clone(),
             client,
             buf: Vec::new(),
-            held: None,
-            opened: false,
-            skipping: false,
-            paused: false,
-            asks: false,
-            leaving: false,
+            reservation: None,
+            is_opened: false,
+            is_skipping: false,
+            is_paused: false,
+            has_valid_op: false,
+            is_draining: false,
             hung_up: false,
-            over: false,
-            drain: None,
-            at_rest: false,
-            faults: 0,
-            early: 0,
-            due,
-            write_due: None,
-            watched: false,
-            in_line: false,
+            is_input_ended: false,
+            discard_left: None,
+            is_delivered: false,
+            consecutive_faults: 0,
+            early_ops: 0,
+            read_deadline,
+            write_deadline: None,
+            watches_writable: false,
+            is_queued: false,
         }
     }
 
-    /// Some of its answers wait until it takes more.
+    /// Whether answers wait until the client reads more.
     pub fn is_slow(&self) -> bool {
-        self.write_due.is_some()
+        self.write_deadline.is_some()
     }
 
-    /// When it is to be looked at again at the latest.
-    pub fn due(&self) -> Option<f64> {
-        match (self.due, self.write_due) {
+    /// The earliest deadline.
+    pub fn next_deadline(&self) -> Option<f64> {
+        match (self.read_deadline, self.write_deadline) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
     }
 
-    /// How it stands towards those who need its place.
-    pub fn standing(&self, now: f64) -> crate::eviction::Standing {
+    /// The client's activity, for the order of eviction.
+    pub fn activity(&self, now: f64) -> crate::eviction::ClientActivity {
         let busy = self.client.pending.load(Relaxed) > 0;
-        let last = if busy { now as u64 } else { self.client.last_active_at.load(Relaxed) };
-        crate::eviction::Standing { asks: self.asks, last }
+        let last_active_at = if busy { now as u64 } else { self.client.last_active_at.load(Relaxed) };
+        crate::eviction::ClientActivity { has_valid_op: self.has_valid_op, last_active_at }
     }
 
-    /// Reads what has come and takes it, `to_the_end` until there is nothing; `scratch` is overwritten.
-    pub fn turn(&mut self, scratch: &mut [u8], to_the_end: bool) -> Turn {
-        self.watch_slow(false);
-        // Seen before its bytes are read: behind many of them, or while reading is paused, its end would show late.
+    /// Reads and processes what has arrived, up to the reads of one turn; with `until_blocked` a short read
+    /// does not end the turn. `scratch` is overwritten.
+    pub fn serve(&mut self, scratch: &mut [u8], until_blocked: bool) -> Outcome {
+        self.update_write_deadline(false);
+        // Checked before bytes are read: behind many of them, or while reading is paused, the end would be
+        // noticed late.
         if self.hung_up {
-            return self.end(Gone);
+            return self.end_input(Disconnected);
         }
-        if self.over {
-            return self.last_turn(scratch);
+        if self.is_input_ended {
+            return self.serve_after_input(scratch);
         }
         for _ in 0..self.shared.limits.reads_a_turn {
-            if self.paused {
-                let kept = std::mem::take(&mut self.buf);
-                let taken = self.take_kept(kept);
-                if let Err(over) = taken {
-                    return self.end(over);
+            if self.is_paused {
+                let buffered = std::mem::take(&mut self.buf);
+                let processed = self.process_buffered(buffered);
+                if let Err(end) = processed {
+                    return self.end_input(end);
                 }
-                if self.paused {
-                    return Turn::Wait;
+                if self.is_paused {
+                    return Outcome::Wait;
                 }
             }
             match (&self.client.stream).read(scratch) {
-                Ok(0) => return self.end(Gone),
+                Ok(0) => return self.end_input(Disconnected),
                 Ok(n) => {
                     self.client.last_active_at.store(self.shared.clock.now() as u64, Relaxed);
                     let read = &scratch[..n];
-                    let taken = if self.buf.is_empty() {
-                        self.take_fresh(read)
+                    let processed = if self.buf.is_empty() {
+                        self.process_read(read)
                     } else {
-                        let mut kept = std::mem::take(&mut self.buf);
-                        kept.extend_from_slice(read);
-                        self.take_kept(kept)
+                        let mut buffered = std::mem::take(&mut self.buf);
+                        buffered.extend_from_slice(read);
+                        self.process_buffered(buffered)
                     };
-                    if let Err(over) = taken {
-                        return self.end(over);
+                    if let Err(end) = processed {
+                        return self.end_input(end);
                     }
-                    // Less than fits is all there was, and spares a call.
-                    if n < scratch.len() && !to_the_end && !self.leaving && !self.paused {
-                        return Turn::Wait;
+                    // A short read means that nothing more has arrived, and saves a call.
+                    if n < scratch.len() && !until_blocked && !self.is_draining && !self.is_paused {
+                        return Outcome::Wait;
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    // One closed gracefully has had all taken that had arrived.
-                    return if self.leaving { self.end(Asked) } else { Turn::Wait };
+                    // Of a draining client, everything that had arrived has been accepted.
+                    return if self.is_draining { self.end_input(ClosedByRouter) } else { Outcome::Wait };
                 }
-                Err(_) => return self.end(Gone),
+                Err(_) => return self.end_input(Disconnected),
             }
         }
-        Turn::More
+        Outcome::ReadMore
     }
 
-    /// It can take more of its answers.
-    pub fn write_left(&mut self) {
-        let moved = self.client.write_remaining();
-        self.watch_slow(moved);
+    /// Writes answers to a socket that has become writable.
+    pub fn write_remaining(&mut self) {
+        let progressed = self.client.write_remaining();
+        self.update_write_deadline(progressed);
     }
 
-    /// A client that takes nothing for too long is cut off.
-    fn watch_slow(&mut self, moved: bool) {
+    /// Sets the deadline after which a client that reads nothing is disconnected.
+    fn update_write_deadline(&mut self, progressed: bool) {
         if !self.client.is_slow() {
-            self.write_due = None;
-        } else if moved || self.write_due.is_none() {
-            let given = self.shared.limits.client_write.as_secs_f64() * 1000.0;
-            self.write_due = Some(self.shared.clock.now() + given);
+            self.write_deadline = None;
+        } else if progressed || self.write_deadline.is_none() {
+            let timeout_ms = self.shared.limits.client_write.as_secs_f64() * 1000.0;
+            self.write_deadline = Some(self.shared.clock.now() + timeout_ms);
         }
     }
 
-    /// One of its times may be up.
-    pub fn overdue(&mut self, _: &mut [u8]) -> Turn {
+    /// Handles a deadline that may have passed.
+    pub fn handle_deadline(&mut self, _: &mut [u8]) -> Outcome {
         let now = self.shared.clock.now();
-        if self.write_due.is_some_and(|due| due <= now) {
-            return self.cut_off();
+        if self.write_deadline.is_some_and(|deadline| deadline <= now) {
+            return self.disconnect();
         }
-        if self.due.is_none_or(|due| due > now) {
-            return Turn::Wait;
+        if self.read_deadline.is_none_or(|deadline| deadline > now) {
+            return Outcome::Wait;
         }
-        self.due = None;
-        if self.over {
-            return self.drained();
+        self.read_deadline = None;
+        if self.is_input_ended {
+            return self.end_discarding();
         }
-        if !self.opened {
-            return self.end(Gone);
+        if !self.is_opened {
+            return self.end_input(Disconnected);
         }
-        let told = self.end_with("08P01", "what was begun here was not ended in time");
-        self.end(told.err().unwrap_or(Told))
+        let rejected = self.reject_fatally("08P01", "what was begun here was not ended in time");
+        self.end_input(rejected.err().unwrap_or(ErrorSent))
     }
 
-    /// Asks it to go: what has arrived is still taken and answered.
-    pub fn close_gracefully(&mut self, scratch: &mut [u8]) -> Turn {
-        self.leaving = true;
-        self.turn(scratch, true)
+    /// Starts draining the client: what has arrived is still accepted and answered.
+    pub fn drain(&mut self, scratch: &mut [u8]) -> Outcome {
+        self.is_draining = true;
+        self.serve(scratch, true)
     }
 
-    fn end(&mut self, over: Over) -> Turn {
-        (self.over, self.due) = (true, None);
-        (self.buf, self.held) = (Vec::new(), None);
-        if matches!(over, Gone) {
-            return self.cut_off();
+    fn end_input(&mut self, end: InputEnd) -> Outcome {
+        (self.is_input_ended, self.read_deadline) = (true, None);
+        (self.buf, self.reservation) = (Vec::new(), None);
+        if matches!(end, Disconnected) {
+            return self.disconnect();
         }
-        self.leaving = true;
-        // Who asked nothing, or nothing for longer than a drain lasts, has nothing of ours on its way: closed at once.
-        let heard = self.shared.clock.now() - self.client.last_active_at.load(Relaxed) as f64;
-        let asked = self.asks || self.faults > 0;
-        let on_its_way = asked && (self.client.pending.load(Acquire) > 0 || heard < self.drain_ms());
-        self.at_rest = matches!(over, Asked) && !on_its_way;
+        self.is_draining = true;
+        // A client that has sent no command, or has been idle for longer than the time for discarding, has no
+        // answer in flight: it is closed at once.
+        let idle_ms = self.shared.clock.now() - self.client.last_active_at.load(Relaxed) as f64;
+        let has_sent_command = self.has_valid_op || self.consecutive_faults > 0;
+        let may_be_in_flight =
+            has_sent_command && (self.client.pending.load(Acquire) > 0 || idle_ms < self.discard_ms());
+        self.is_delivered = matches!(end, ClosedByRouter) && !may_be_in_flight;
         self.client.finish();
-        if matches!(over, Told) {
-            self.begin_drain();
+        if matches!(end, ErrorSent) {
+            self.start_discarding();
         }
-        self.closing()
+        self.continue_closing()
     }
 
-    fn drain_ms(&self) -> f64 {
+    fn discard_ms(&self) -> f64 {
         self.shared.limits.drain.as_secs_f64() * 1000.0
     }
 
-    fn begin_drain(&mut self) {
-        self.drain = Some(self.shared.limits.drain_bytes);
-        self.due = Some(self.shared.clock.now() + self.drain_ms());
+    fn start_discarding(&mut self) {
+        self.discard_left = Some(self.shared.limits.drain_bytes);
+        self.read_deadline = Some(self.shared.clock.now() + self.discard_ms());
     }
 
-    /// Where a connection stands of which nothing more is taken: its answers are written, then what still comes is
-    /// dropped for a while.
-    fn closing(&mut self) -> Turn {
+    /// The next step of closing: once all answers are written, discards what still arrives for a while, then
+    /// ends.
+    fn continue_closing(&mut self) -> Outcome {
         match self.client.is_finished() {
-            true if self.at_rest => Turn::Gone,
-            true if self.drain.is_none() => {
-                self.at_rest = true;
-                self.begin_drain();
-                Turn::More
+            true if self.is_delivered => Outcome::Closed,
+            true if self.discard_left.is_none() => {
+                self.is_delivered = true;
+                self.start_discarding();
+                Outcome::ReadMore
             }
-            _ => Turn::Wait,
+            _ => Outcome::Wait,
         }
     }
 
-    /// What it asked and was not answered yet is owed to nobody.
-    pub fn cut_off(&mut self) -> Turn {
+    /// Disconnects at once; commands that are not answered yet need no answer any more.
+    pub fn disconnect(&mut self) -> Outcome {
         if self.client.pending.load(Acquire) > 0 {
             drop(self.events.send(Event::ClientDisconnected { client: self.client.id }));
         }
         self.client.abort();
-        Turn::Gone
+        Outcome::Closed
     }
 
-    /// Nothing is taken any more: what still comes is dropped, for as long as it may last. Before the last answer is
-    /// written only its end is looked for: what it writes meanwhile it writes again elsewhere.
-    fn last_turn(&mut self, scratch: &mut [u8]) -> Turn {
-        if self.drain.is_none() {
+    /// A turn after the input has ended: discards what still arrives, up to the limits. Until the last answer
+    /// is written it only checks whether the client has disconnected: what a client sends in the meantime it
+    /// sends again on another connection.
+    fn serve_after_input(&mut self, scratch: &mut [u8]) -> Outcome {
+        if self.discard_left.is_none() {
             return match self.client.stream.peek(&mut scratch[..1]) {
-                Ok(0) => self.cut_off(),
+                Ok(0) => self.disconnect(),
                 Err(e) if !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
-                    self.cut_off()
+                    self.disconnect()
                 }
-                _ => self.closing(),
+                _ => self.continue_closing(),
             };
         }
         for _ in 0..self.shared.limits.reads_a_turn {
-            let Some(left) = self.drain else { break };
+            let Some(left) = self.discard_left else { break };
             match (&self.client.stream).read(scratch) {
-                Ok(n) if n > 0 => self.drain = Some(left.saturating_sub(n)).filter(|left| *left > 0),
+                Ok(n) if n > 0 => self.discard_left = Some(left.saturating_sub(n)).filter(|left| *left > 0),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Turn::Wait,
-                // What it asked before the fault that ended its connection is owed to nobody now.
-                _ => return self.cut_off(),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Outcome::Wait,
+                // Disconnected: answers to commands before the fault that ended the input have no recipient
+                // any more.
+                _ => return self.disconnect(),
             }
         }
-        if self.drain.is_some() { Turn::More } else { self.drained() }
+        if self.discard_left.is_some() { Outcome::ReadMore } else { self.end_discarding() }
     }
 
-    /// Enough has been dropped.
-    fn drained(&mut self) -> Turn {
-        (self.drain, self.due, self.at_rest) = (None, None, true);
-        self.closing()
+    /// Ends the discarding of input.
+    fn end_discarding(&mut self) -> Outcome {
+        (self.discard_left, self.read_deadline, self.is_delivered) = (None, None, true);
+        self.continue_closing()
     }
 
-    fn take_fresh(&mut self, read: &[u8]) -> Result<(), Over> {
-        let at = self.take(read)?;
+    fn process_read(&mut self, read: &[u8]) -> Result<(), InputEnd> {
+        let at = self.process_messages(read)?;
         self.buf.extend_from_slice(&read[at..]);
-        self.keep(at > 0)
+        self.update_buffered(at > 0)
     }
 
-    fn take_kept(&mut self, mut kept: Vec<u8>) -> Result<(), Over> {
-        let at = self.take(&kept)?;
-        if at < kept.len() {
-            kept.drain(..at);
-            self.buf = kept;
+    fn process_buffered(&mut self, mut buffered: Vec<u8>) -> Result<(), InputEnd> {
+        let at = self.process_messages(&buffered)?;
+        if at < buffered.len() {
+            buffered.drain(..at);
+            self.buf = buffered;
         }
-        self.keep(at > 0)
+        self.update_buffered(at > 0)
     }
 
-    /// Accounts for what was not taken, and sets the time by which it must be whole.
-    fn keep(&mut self, moved: bool) -> Result<(), Over> {
+    /// Accounts for the bytes that were not processed, and sets the deadline by which their message must be
+    /// complete.
+    fn update_buffered(&mut self, progressed: bool) -> Result<(), InputEnd> {
         if self.buf.len() <= self.shared.limits.read_bytes {
-            self.held = None;
-        } else if self.held.is_none() {
-            // Many clients with half a long message each must not fill the memory.
-            self.held = Some(self.shared.try_reserve(self.shared.limits.message_bytes).ok_or(Gone)?);
+            self.reservation = None;
+        } else if self.reservation.is_none() {
+            // Many clients with part of a long message each must not exhaust the memory.
+            self.reservation =
+                Some(self.shared.try_reserve(self.shared.limits.message_bytes).ok_or(Disconnected)?);
         }
-        if self.opened {
-            // A command that has begun must end; between commands a client may take its time.
-            let begun = !self.buf.is_empty() && !self.paused;
-            let since = self.due.filter(|_| !moved);
-            let due = || since.unwrap_or_else(|| self.shared.clock.now() + self.shared.limits.command_ms);
-            self.due = begun.then(due);
+        if self.is_opened {
+            // A command that has begun must be completed in time; between commands a client may stay idle.
+            let begun = !self.buf.is_empty() && !self.is_paused;
+            let old = self.read_deadline.filter(|_| !progressed);
+            let deadline = || old.unwrap_or_else(|| self.shared.clock.now() + self.shared.limits.command_ms);
+            self.read_deadline = begun.then(deadline);
         }
         Ok(())
     }
 
-    /// Takes all whole messages that stand in the buffer, as far as answers may be owed; tells where the rest begins.
-    fn take(&mut self, buf: &[u8]) -> Result<usize, Over> {
-        let (most, mut at) = (self.shared.limits.message_bytes, 0);
-        while !self.opened {
+    /// Processes all complete messages in the buffer, while more answers may be pending; returns where the
+    /// rest begins.
+    fn process_messages(&mut self, buf: &[u8]) -> Result<usize, InputEnd> {
+        let (max_bytes, mut at) = (self.shared.limits.message_bytes, 0);
+        while !self.is_opened {
             let (code, body) = match frame::startup(&buf[at..], self.shared.limits.startup_bytes) {
                 Ok(Some(read)) => read,
                 Ok(None) => return Ok(at),
                 Err(_) => {
-                    self.end_with("08P01", "this opens no connection")?;
+                    self.reject_fatally("08P01", "this opens no connection")?;
                     return Ok(at);
                 }
             };
@@ -351,64 +366,64 @@
             let mut reply = Vec::new();
             match code {
                 frame::SSL_REQUEST | frame::GSSENC_REQUEST => reply.push(b'N'),
-                frame::CANCEL_REQUEST => return Err(Gone),
+                frame::CANCEL_REQUEST => return Err(Disconnected),
                 _ if code >> 16 == 3 => {
                     if code & 0xffff != 0 {
                         encode::negotiate_protocol_version(&mut reply);
                     }
                     encode::startup_reply(&mut reply);
-                    self.opened = true;
+                    self.is_opened = true;
                 }
                 _ => {
-                    self.end_with("0A000", "only protocol 3 is spoken here")?;
+                    self.reject_fatally("0A000", "only protocol 3 is spoken here")?;
                 }
             }
             self.reply(reply)?;
         }
         loop {
-            self.paused = self.client.is_full(self.shared.limits.pending);
-            if self.paused {
+            self.is_paused = self.client.is_full(self.shared.limits.pending);
+            if self.is_paused {
                 return Ok(at);
             }
-            let (kind, body) = match frame::message(&buf[at..], most) {
+            let (kind, body) = match frame::message(&buf[at..], max_bytes) {
                 Ok(Some((kind, body))) => (kind, &buf[at + body.start..at + body.end]),
                 Ok(None) => return Ok(at),
                 Err(length) => {
-                    let line = format!("message of {} bytes, 4 to {most} are taken", length.0);
-                    self.end_with("08P01", &line)?;
+                    let line = format!("message of {} bytes, 4 to {max_bytes} are taken", length.0);
+                    self.reject_fatally("08P01", &line)?;
                     return Ok(at);
                 }
             };
             at += 5 + body.len();
             match kind {
-                b'X' => return Err(Gone),
+                b'X' => return Err(Disconnected),
                 b'S' => {
-                    self.skipping = false;
+                    self.is_skipping = false;
                     self.reply(encode::READY_FOR_QUERY.to_vec())?;
                 }
                 b'd' | b'c' | b'f' | b'H' => {}
-                _ if self.skipping => {}
-                b'Q' => self.query(body)?,
+                _ if self.is_skipping => {}
+                b'Q' => self.handle_query(body)?,
                 b'P' | b'B' | b'D' | b'E' | b'C' => {
-                    self.skipping = true;
+                    self.is_skipping = true;
                     let mut reply = Vec::new();
                     encode::error_response(&mut reply, false, "0A000", "only simple queries are taken", "");
                     self.reply(reply)?;
                 }
-                b'F' => self.wrong("0A000", "only simple queries are taken")?,
-                _ => self.end_with("08P01", &format!("unknown message kind {kind}"))?,
+                b'F' => self.reject("0A000", "only simple queries are taken")?,
+                _ => self.reject_fatally("08P01", &format!("unknown message kind {kind}"))?,
             }
         }
     }
 
-    fn query(&mut self, body: &[u8]) -> Result<(), Over> {
+    fn handle_query(&mut self, body: &[u8]) -> Result<(), InputEnd> {
         let arrived_at = self.shared.clock.now();
-        // Its one zero byte stands at its end: one inside would hide what follows it.
+        // The only zero byte of a query is its last: one inside would hide what follows it.
         let Some((text, _)) = frame::c_string(body, 0).filter(|(_, end)| *end == body.len()) else {
-            return self.end_with("08P01", "a query with no end, or more behind it");
+            return self.reject_fatally("08P01", "a query with no end, or more behind it");
         };
         let Ok(text) = std::str::from_utf8(text) else {
-            return self.wrong("22021", "the statement is not UTF-8");
+            return self.reject("22021", "the statement is not UTF-8");
         };
         if text.trim().is_empty() {
             let mut reply = Vec::new();
@@ -421,16 +436,16 @@
             reply.extend_from_slice(&encode::READY_FOR_QUERY);
             return self.reply(reply);
         }
-        let facts = match self.names.parse(text) {
+        let facts = match self.parser.parse(text) {
             Ok(facts) => facts,
-            Err(why) => return self.wrong("42601", &why),
+            Err(why) => return self.reject("42601", &why),
         };
         let Some(held) = self.shared.try_reserve(text.len() + self.shared.limits.read_bytes) else {
-            return self.wrong("53300", "too much is held already");
+            return self.reject("53300", "too much is held already");
         };
-        self.faults = 0;
-        self.asks = true;
-        let seq = self.enter()?;
+        self.consecutive_faults = 0;
+        self.has_valid_op = true;
+        let seq = self.begin_command()?;
         let (is_write, timeout_range) = (facts.writes, facts.client_timeout_range.clone());
         let statement = Statement { text: text.as_bytes().to_vec(), is_write, timeout_range, held };
         let event = Event::OpArrived {
@@ -440,34 +455,35 @@
             statement: Arc::new(statement),
             arrived_at,
         };
-        self.events.send(event).map_err(|_| Gone)?;
-        // Who is told to come back later and never waits costs more than the ops that it is refused. Outside it
-        // waits until there is time to let it in.
+        self.events.send(event).map_err(|_| Disconnected)?;
+        // A client that ignores its retry times costs more than the ops that it is refused. Once closed, it
+        // waits in the accept queue until there is processor time for it.
         let early = arrived_at < self.client.retry_at.load(Relaxed) as f64
             && self.shared.is_cpu_limited.load(Relaxed);
-        self.early += usize::from(early);
-        // What has arrived behind this is still taken: dropped, it would be an op without an answer.
-        self.leaving |= self.early >= self.shared.limits.early;
+        self.early_ops += usize::from(early);
+        // What has arrived behind this op is still accepted: dropped, it would be an op without an answer.
+        self.is_draining |= self.early_ops >= self.shared.limits.early;
         Ok(())
     }
 
-    fn enter(&self) -> Result<u64, Over> {
-        self.client.begin_command().ok_or(Gone)
+    fn begin_command(&self) -> Result<u64, InputEnd> {
+        self.client.begin_command().ok_or(Disconnected)
     }
 
-    fn reply(&self, bytes: Vec<u8>) -> Result<(), Over> {
-        let seq = self.enter()?;
-        let held = self.shared.reserve(bytes.len());
-        self.client.answer(seq, bytes, held);
+    fn reply(&self, bytes: Vec<u8>) -> Result<(), InputEnd> {
+        let seq = self.begin_command()?;
+        let reservation = self.shared.reserve(bytes.len());
+        self.client.answer(seq, bytes, reservation);
         Ok(())
     }
 
-    /// Says what is wrong with a command; the next one is taken as usual, but not for ever.
-    fn wrong(&mut self, code: &str, line: &str) -> Result<(), Over> {
-        self.faults += 1;
-        self.asks = false;
-        if self.faults >= self.shared.limits.faults {
-            return self.end_with(code, line);
+    /// Rejects a command with an error; the next one is accepted as usual, up to the limit of faults in a
+    /// row.
+    fn reject(&mut self, code: &str, line: &str) -> Result<(), InputEnd> {
+        self.consecutive_faults += 1;
+        self.has_valid_op = false;
+        if self.consecutive_faults >= self.shared.limits.faults {
+            return self.reject_fatally(code, line);
         }
         let mut reply = Vec::new();
         encode::error_response(&mut reply, false, code, line, "");
@@ -475,11 +491,11 @@
         self.reply(reply)
     }
 
-    /// Says what is wrong where the stream can't be followed any further.
-    fn end_with(&mut self, code: &str, line: &str) -> Result<(), Over> {
+    /// Rejects a command with a fatal error, as the stream can't be followed any further.
+    fn reject_fatally(&mut self, code: &str, line: &str) -> Result<(), InputEnd> {
         let mut reply = Vec::new();
         encode::error_response(&mut reply, true, code, line, "");
         self.reply(reply)?;
-        Err(Told)
+        Err(ErrorSent)
     }
 }
--- a/crates/router/src/eviction.rs
+++ b/crates/router/src/eviction.rs
@@ -1,56 +1,57 @@
-//! Who gives up a place first when others need it: clients in the order of how long they have been quiet. The
-//! clients' loop asks; nothing here scans all clients, does I/O or reads a clock.
+//! Order in which clients are evicted when others need their place: by how long they have been idle. Used by
+//! the client loop; never scans all clients, does no I/O and reads no clock.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// What a client is like now: whether it has asked for something that was no fault, and when it last did anything,
-/// in whole ms; the present where it has a command open.
+/// A client's activity: whether its last command was a valid op, and when it was last active, in whole Unix
+/// ms (the present while it has a command open).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
-    pub asks: bool,
-    pub last: u64,
+pub struct ClientActivity {
+    pub has_valid_op: bool,
+    pub last_active_at: u64,
 }
 
-/// Clients keep the place in the order that they had when last looked at, and move when their turn comes: being
-/// busy costs nothing here. One that begins or ceases to ask must be entered anew.
+/// Clients in the order of the activity that was last recorded for them. An entry is brought up to date only
+/// when it comes first, so that a busy client costs nothing here. A client that starts or stops sending valid
+/// ops must be inserted again.
 #[derive(Default)]
 pub struct EvictionOrder {
-    /// By `asks`.
+    /// Pairs of last activity and client id; the index is `has_valid_op`.
     order: [BTreeSet<(u64, u64)>; 2],
-    seen: HashMap<u64, Standing>,
+    activities: HashMap<u64, ClientActivity>,
 }
 
 impl EvictionOrder {
-    pub fn enter(&mut self, no: u64, standing: Standing) {
-        self.leave(no);
-        self.seen.insert(no, standing);
-        self.order[usize::from(standing.asks)].insert((standing.last, no));
+    pub fn insert(&mut self, client: u64, activity: ClientActivity) {
+        self.remove(client);
+        self.activities.insert(client, activity);
+        self.order[usize::from(activity.has_valid_op)].insert((activity.last_active_at, client));
     }
 
-    pub fn leave(&mut self, no: u64) {
-        if let Some(old) = self.seen.remove(&no) {
-            self.order[usize::from(old.asks)].remove(&(old.last, no));
+    pub fn remove(&mut self, client: u64) {
+        if let Some(old) = self.activities.remove(&client) {
+            self.order[usize::from(old.has_valid_op)].remove(&(old.last_active_at, client));
         }
     }
 
-    /// The client that has been quiet longest among those that ask, or those that don't, if last heard by `until`.
-    /// `now_like` tells what a client is like now.
-    pub fn quietest(
+    /// The client that has been idle longest, among those that send valid ops or those that don't, if it was
+    /// last active at `until` or before. `current_activity` returns a client's activity now.
+    pub fn longest_idle(
         &mut self,
-        asks: bool,
+        has_valid_op: bool,
         until: u64,
-        mut now_like: impl FnMut(u64) -> Standing,
+        mut current_activity: impl FnMut(u64) -> ClientActivity,
     ) -> Option<u64> {
         loop {
-            let (last, no) = *self.order[usize::from(asks)].first()?;
-            if last > until {
+            let (last_active_at, client) = *self.order[usize::from(has_valid_op)].first()?;
+            if last_active_at > until {
                 return None;
             }
-            let now = now_like(no);
-            if now == (Standing { asks, last }) {
-                return Some(no);
+            let current = current_activity(client);
+            if current == (ClientActivity { has_valid_op, last_active_at }) {
+                return Some(client);
             }
-            self.enter(no, now);
+            self.insert(client, current);
         }
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,5 @@
-//! magpiewell as a router on sockets: clients and hosts speak PostgreSQL's protocol, the list HTTP. The program, tests
-//! and tools start one with [`run`].
+//! magpiewell as a router on sockets: clients and hosts speak PostgreSQL's protocol, the list HTTP. The
+//! program, tests and tools start one with [`run`].
 
 mod answer;
 mod client;
@@ -100,8 +100,8 @@
     }
 }
 
-/// Reloads, one at a time, on a thread that is there for them alone: a file that can't be read to its end must not keep
-/// a request to stop waiting.
+/// Reloads, one at a time, on a thread that is there for them alone: a file that can't be read to its end
+/// must not keep a request to stop waiting.
 struct Reloads {
     watches: Arc<list::Watches>,
     whole: Value,
@@ -132,8 +132,8 @@
     }
 }
 
-/// Runs a router with the configuration that the environment names, until a signal asks it to stop and all that was
-/// taken is answered. An error is one line that names the key, the file or the address at fault.
+/// Runs a router with the configuration that the environment names, until a signal asks it to stop and all
+/// that was taken is answered. An error is one line that names the key, the file or the address at fault.
 pub fn run(options: Options) -> Result<(), String> {
     run_with_overrides(options, LabOverrides::default())
 }
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -3,9 +3,9 @@
 use magpiewell_terms::startup::StartupOptions;
 use std::time::Duration;
 
-/// What a silent watch of the list misses counts as told after this time, or two seconds after its wait is over if
-/// that is later: the platform's terms, whatever the deployment. By then the silence must have been noticed, a
-/// connection opened, and the list answered on it, and one of the three may take twice its time.
+/// What a silent watch of the list misses counts as told after this time, or two seconds after its wait is
+/// over if that is later: the platform's terms, whatever the deployment. By then the silence must have been
+/// noticed, a connection opened, and the list answered on it, and one of the three may take twice its time.
 const LIST_SILENT_MS: f64 = 6_000.0;
 const LIST_SLACK_MS: f64 = 1_000.0;
 
@@ -16,13 +16,14 @@
 
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Processor time granted, in cores; how often use is looked at, and what opening a connection and refusing
-    /// an op take of it, in ms.
+    /// Processor time granted, in cores; how often use is looked at, and what opening a connection and
+    /// refusing an op take of it, in ms.
     pub cores: f64,
     pub budget_ms: f64,
     pub open_ms: f64,
     pub refuse_ms: f64,
-    /// Ops that came sooner than their client was told, while processor time is short, after which it is closed gracefully.
+    /// Ops that came sooner than their client was told, while processor time is short, after which it is
+    /// closed gracefully.
     pub early: usize,
     /// Longest message taken from anyone: a value of 64 KiB in hexadecimal digits, and its statement.
     pub message_bytes: usize,
@@ -51,13 +52,14 @@
     pub leaving: usize,
     /// Faulty commands in a row after which a client is closed gracefully.
     pub faults: usize,
-    /// A client that has not opened its connection, or not ended a command, is closed gracefully after this time. Both
-    /// are written at once, whatever the deployment; what may hold them up is a lost packet, sent again after a second.
+    /// A client that has not opened its connection, or not ended a command, is closed gracefully after this
+    /// time. Both are written at once, whatever the deployment; what may hold them up is a lost packet, sent
+    /// again after a second.
     pub opening_ms: f64,
     pub command_ms: f64,
-    /// Beyond so many clients, those go that have had no command open for this long. The platform lets who has no
-    /// command open be closed after two seconds, and lets its own clients take a third of the descriptors; a part of
-    /// that leaves room for those that come at once.
+    /// Beyond so many clients, those go that have had no command open for this long. The platform lets who
+    /// has no command open be closed after two seconds, and lets its own clients take a third of the
+    /// descriptors; a part of that leaves room for those that come at once.
     pub crowd: usize,
     pub idle_ms: f64,
     /// Where others need its room, who asks nothing, or nothing but faults, stays this long at least.
@@ -69,7 +71,8 @@
     pub pending: usize,
     /// Longest wait that a client may state.
     pub wait_most_ms: f64,
-    /// A client that takes nothing for so long is cut off: longer than a network stalls, and nobody waits on it.
+    /// A client that takes nothing for so long is cut off: longer than a network stalls, and nobody waits on
+    /// it.
     pub client_write: Duration,
     /// How often the clients' loop looks whether it is to stop or has room again.
     pub accept_check: Duration,
@@ -84,18 +87,19 @@
     pub idle_check: Duration,
     pub dial_ms: f64,
     pub probe_ms: f64,
-    /// A watch of the list waits so long there, and this much longer here before it counts as silent; so long may
-    /// opening a connection to it take, too.
+    /// A watch of the list waits so long there, and this much longer here before it counts as silent; so long
+    /// may opening a connection to it take, too.
     pub list_wait_ms: u64,
     pub list_slack: Duration,
-    /// A list that answers at once without news is called again no sooner than so long after the call before. Well
-    /// within the 200 ms after which the next call begins a watch anew.
+    /// A list that answers at once without news is called again no sooner than so long after the call before.
+    /// Well within the 200 ms after which the next call begins a watch anew.
     pub list_pause: Duration,
     /// A failed list is called again so long after the call before at the latest.
     pub list_again: Duration,
-    /// After a request to stop: new clients are let in for the grace, as the platform sends them for 0.4 s more, and a
-    /// last look taken at those in the queue; those inside are served for longer, and all that is taken is answered by
-    /// the last of these times, after which the platform may end the process. The last two follow from op timeouts.
+    /// After a request to stop: new clients are let in for the grace, as the platform sends them for 0.4 s
+    /// more, and a last look taken at those in the queue; those inside are served for longer, and all that is
+    /// taken is answered by the last of these times, after which the platform may end the process. The last
+    /// two follow from op timeouts.
     pub grace: Duration,
     pub last_look: Duration,
     pub linger: Duration,
--- a/crates/router/src/limits/tests.rs
+++ b/crates/router/src/limits/tests.rs
@@ -11,8 +11,8 @@
     Limits::new(&magpiewell_terms::startup::parse(start.as_bytes()).unwrap().0)
 }
 
-/// The platform sends clients for 0.4 s after a request to stop, and ends the process no sooner than the longest op
-/// timeout, of 3 s at most, and 0.7 s later.
+/// The platform sends clients for 0.4 s after a request to stop, and ends the process no sooner than the
+/// longest op timeout, of 3 s at most, and 0.7 s later.
 #[test]
 fn a_stop_keeps_its_order_and_its_time_whatever_the_op_timeouts() {
     // Below a tenth of a second who comes last is refused, which is harmless.
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -13,8 +13,8 @@
 /// What the list brings: a page, or that a call failed.
 pub type ListUpdate = Option<Value>;
 
-/// Reads a page; each host goes straight into the call: id, address, the group's name, and what else is said of it (its
-/// group's number is left at 0). Zones go by their place among these names.
+/// Reads a page; each host goes straight into the call: id, address, the group's name, and what else is said
+/// of it (its group's number is left at 0). Zones go by their place among these names.
 pub fn parse_entries(
     page: &Value,
     zones: &[String],
@@ -91,8 +91,8 @@
         self.present.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
-    /// Watches this address from now on, and no other; false where there is no thread to be had, and the old address
-    /// stays.
+    /// Watches this address from now on, and no other; false where there is no thread to be had, and the old
+    /// address stays.
     pub fn follow(self: &Arc<Watches>, at: SocketAddr, known: Option<&Value>) -> bool {
         let mut present = self.present();
         if present.at == Some(at) {
@@ -149,7 +149,8 @@
                         std::thread::sleep(limits.list_pause.saturating_sub(called.elapsed()));
                     }
                     if new < have {
-                        // Late, or of a service that has begun anew: the whole list tells, whatever its version.
+                        // Late, or of a service that has begun anew: the whole list tells, whatever its
+                        // version.
                         tracing::warn!(version = new, have, "a page is older than the list");
                         have = None;
                         continue;
