--- a/crates/router/src/client_loop.rs
+++ b/crates/router/src/client_loop.rs
@@ -27,7 +27,6 @@
 const FIRST_CLIENT: u64 = 2;
 
 /// Accepts, serves, drains and evicts clients, within the limits and the budget of processor time.
-
 pub struct ClientLoop {
     shared: Arc<Shared>,
     parser: Arc<OpFactsParser>,
--- a/crates/router/src/client_reader.rs
+++ b/crates/router/src/client_reader.rs
@@ -24,7 +24,6 @@
 }
 
 /// The input side of one client connection.
-
 pub struct ClientReader {
     shared: Arc<Shared>,
     parser: Arc<OpFactsParser>,
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,132 +1,141 @@
-//! All sizes, counts and times of the router, filled at start and handed down.
+//! All sizes, counts and times of the router, set at start from the configuration.
 
 use magpiewell_terms::startup::StartupOptions;
 use std::time::Duration;
 
-/// What a silent watch of the list misses counts as told after this time, or two seconds after its wait is
-/// over if that is later: the platform's terms, whatever the deployment. By then the silence must have been
-/// noticed, a connection opened, and the list answered on it, and one of the three may take twice its time.
+/// The platform expects a router to know a change of the host list after this time even where its list watch
+/// fell silent, or two seconds after the watch's wait if that is later; this holds in every deployment. Until
+/// then the router has to notice the silence, connect and get an answer; each has the slack as its time, and
+/// one of the three may take twice that.
 const LIST_SILENT_MS: f64 = 6_000.0;
 const LIST_SLACK_MS: f64 = 1_000.0;
 
-/// Descriptors that the router takes for itself: 3 standard streams, the listener, both loops with their
-/// wakers (4), signals (2), peers, a configuration being read, and two watches of the list of which each has
-/// a second one (4).
+/// Descriptors that the router itself uses: 3 standard streams, the listener, both loops with their wakers
+/// (4), signals (2), peers, a configuration being read, and two list watches with two descriptors each (4).
 const OWN_DESCRIPTORS: usize = 16;
 
+/// The limits. Their names are logged at start.
+
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Processor time granted, in cores; how often use is looked at, and what opening a connection and
-    /// refusing an op take of it, in ms.
+    /// Processor time granted, in cores; the interval at which its use is measured, and the processor time
+    /// that opening a connection and refusing an op take, in ms.
     pub cores: f64,
     pub budget_ms: f64,
     pub open_ms: f64,
     pub refuse_ms: f64,
-    /// Ops that came sooner than their client was told, while processor time is short, after which it is
-    /// closed gracefully.
+    /// Ops sent before the retry time, while processor time is short, after which their client is drained.
     pub early: usize,
-    /// Longest message taken from anyone: a value of 64 KiB in hexadecimal digits, and its statement.
+    /// Longest message accepted from a client or host: a value of 64 KiB in hexadecimal digits, and its
+    /// statement.
     pub message_bytes: usize,
-    /// Longest answer of a host: the longest message, and as much again for all that stands beside it.
+    /// Longest answer of a host: the longest message, and as much again for everything around it.
     pub answer_bytes: usize,
     /// Longest startup message.
     pub startup_bytes: usize,
-    /// Longest list that is read. Read, looked at and taken apart it costs several times as much.
+    /// Longest host list that is read. Reading, checking and parsing it takes several times as much memory.
     pub list_bytes: usize,
-    /// What one read takes at most; buffers beyond it count as held.
+    /// Most bytes of one read; longer buffers count towards `held_bytes`.
     pub read_bytes: usize,
-    /// Statements, answers and long buffers held at once; beyond it new ops are turned away.
+    /// Total of statements, answers and long buffers in memory; beyond it new ops are rejected.
     pub held_bytes: usize,
-    /// Of each thread; only what is touched counts as memory.
+    /// Stack of each thread; only touched pages count as memory.
     pub stack_bytes: usize,
-    /// Connections that wait to be accepted.
+    /// Length of the accept queue.
     pub backlog: i32,
-    /// Clients accepted, and reads from one client, before the others have their turn.
+    /// Clients accepted, and reads from one client, before other clients are served.
     pub accepts_a_turn: usize,
     pub reads_a_turn: usize,
-    /// Events that a loop takes in one go.
+    /// Events that a loop handles per iteration.
     pub events: usize,
+    /// Client connections, and connections to hosts, that may be open.
     pub clients: usize,
     pub host_connections: usize,
-    /// Clients closed gracefully that may still be on their way, beside those.
+    /// Draining clients that may be open in addition to `clients`.
     pub leaving: usize,
-    /// Faulty commands in a row after which a client is closed gracefully.
+    /// Faulty commands in a row after which a client is closed.
     pub faults: usize,
-    /// A client that has not opened its connection, or not ended a command, is closed gracefully after this
-    /// time. Both are written at once, whatever the deployment; what may hold them up is a lost packet, sent
-    /// again after a second.
+    /// A client that has not completed its startup, or a command, within this time is closed. Both are
+    /// written at once in every deployment; what may delay them is a lost packet, which is sent again after a
+    /// second.
     pub opening_ms: f64,
     pub command_ms: f64,
-    /// Beyond so many clients, those go that have had no command open for this long. The platform lets who
-    /// has no command open be closed after two seconds, and lets its own clients take a third of the
-    /// descriptors; a part of that leaves room for those that come at once.
+    /// Beyond `crowd` clients, those are drained that have had no command open for `idle_ms`. The platform
+    /// allows clients without an open command to be closed after two seconds, and lets its own clients take a
+    /// third of the descriptors; the crowd limit is a part of that, which leaves room for clients that
+    /// connect all at once.
     pub crowd: usize,
     pub idle_ms: f64,
-    /// Where others need its room, who asks nothing, or nothing but faults, stays this long at least.
+    /// While others need its place, a client that has sent nothing, or nothing but faults, stays at least
+    /// this long.
     pub silent_ms: f64,
-    /// What is still read from a client that is closed gracefully, so that it takes its last answer in.
+    /// How much is still read from a client that is being closed, and for how long, so that it receives its
+    /// last answer.
     pub drain_bytes: usize,
     pub drain: Duration,
-    /// Commands of one client that are taken before their answers are written.
+    /// Commands of one client that are accepted before their answers are written.
     pub pending: usize,
-    /// Longest wait that a client may state.
+    /// Longest client timeout that a client may state.
     pub wait_most_ms: f64,
-    /// A client that takes nothing for so long is cut off: longer than a network stalls, and nobody waits on
-    /// it.
+    /// A client that reads nothing for this long is disconnected: longer than a network stalls, and nobody
+    /// waits for it.
     pub client_write: Duration,
-    /// How often the clients' loop looks whether it is to stop or has room again.
+    /// How often the client loop checks whether it has to stop or has room again.
     pub accept_check: Duration,
-    /// The decisions' beat is longer by this while no op is open.
+    /// Added to the interval of the decision thread's ticks while no op is open.
     pub idle_beat_ms: f64,
-    /// What is left over of an answer shows in this time: a connection that rested is taken before others.
+    /// Surplus bytes behind an answer arrive within this time: connections that were idle for longer are used
+    /// first.
     pub rest_ms: f64,
-    /// How often hosts are looked for that are gone for good.
+    /// How often hosts that have left for good are removed.
     pub tidy_ms: f64,
-    /// An idle host connection is closed after this time, before the host does it, and checked so often.
+    /// An idle host connection is closed after this time, before the host does so; how often that is checked.
     pub host_idle: Duration,
     pub idle_check: Duration,
+    /// Time to connect to a host, and time for a probe.
     pub dial_ms: f64,
     pub probe_ms: f64,
-    /// A watch of the list waits so long there, and this much longer here before it counts as silent; so long
-    /// may opening a connection to it take, too.
+    /// How long a list watch waits at the list service, and how much longer the router waits before the watch
+    /// counts as silent; connecting to the service may take that much, too.
     pub list_wait_ms: u64,
     pub list_slack: Duration,
-    /// A list that answers at once without news is called again no sooner than so long after the call before.
-    /// Well within the 200 ms after which the next call begins a watch anew.
+    /// A list that answers at once without a change is called again no sooner than this after the call
+    /// before. Well within the 200 ms after which the next call starts a new watch.
     pub list_pause: Duration,
-    /// A failed list is called again so long after the call before at the latest.
+    /// A failed call to the list is repeated this long after it began at the latest.
     pub list_again: Duration,
-    /// After a request to stop: new clients are let in for the grace, as the platform sends them for 0.4 s
-    /// more, and a last look taken at those in the queue; those inside are served for longer, and all that is
-    /// taken is answered by the last of these times, after which the platform may end the process. The last
-    /// two follow from op timeouts.
+    /// After a request to stop: new clients are accepted for `grace`, as the platform sends them for 0.4 s
+    /// more, and those in the accept queue for `last_look` after it. Clients are served until `linger`, and
+    /// all accepted commands are answered by `stop`, after which the platform may end the process. `linger`
+    /// and `stop` follow from the op timeouts.
     pub grace: Duration,
     pub last_look: Duration,
     pub linger: Duration,
     pub stop: Duration,
-    /// What is still open so long after that is broken off.
+    /// Clients that are still connected this long after `stop` are disconnected.
     pub cut: Duration,
     /// How far ahead of the clock a commit may lie, as it is rounded up.
     pub ahead_ms: f64,
     /// How often figures are logged.
     pub figures_ms: f64,
-    /// How often the thread between peers advances the time.
+    /// Interval of the peer thread's ticks.
     pub peers_tick: Duration,
-    /// Observations of the decision thread that may wait for the thread between peers.
+    /// Observations of the decision thread that may be queued for the peer thread.
     pub max_observations: usize,
 }
 
 impl Limits {
     pub fn new(start: &StartupOptions) -> Limits {
-        let memory = start.memory_mb * 1024.0 * 1024.0;
-        // Spare descriptors: the router's own, and clients just being closed.
+        let memory_bytes = start.memory_mb * 1024.0 * 1024.0;
+        // Spare descriptors: the router's own, and those of clients that are being closed.
         let leaving = start.max_sockets / 16 + 8;
         let sockets = start.max_sockets - leaving - OWN_DESCRIPTORS;
-        // A client takes its buffers, seldom all of them; a quarter of the memory is theirs.
-        let clients = (sockets * 2 / 3).min((memory / 4.0 / (16.0 * 1024.0)) as usize).max(8);
-        // The platform grants the longest wait of an op, of 3 s at most, and 0.7 s more.
-        let longest = start.adapter_options.op_timeouts_ms.iter().fold(0.0f64, |a, b| a.max(*b));
-        let stop = longest.min(3000.0) / 1000.0 + 0.7 - 0.2;
+        // A client has its buffers, but few use all of them; a quarter of the memory is for clients.
+        let clients = (sockets * 2 / 3).min((memory_bytes / 4.0 / (16.0 * 1024.0)) as usize).max(8);
+        // The platform grants the longest op timeout, of 3 s at most, and 0.7 s more; 0.2 s of that are kept
+        // in reserve.
+        let longest_ms = start.adapter_options.op_timeouts_ms.iter().fold(0.0f64, |a, b| a.max(*b));
+        let stop = longest_ms.min(3000.0) / 1000.0 + 0.7 - 0.2;
         Limits {
             cores: start.cores,
             budget_ms: 50.0,
@@ -136,16 +145,16 @@
             message_bytes: 192 * 1024,
             answer_bytes: 2 * 192 * 1024,
             startup_bytes: 10_000,
-            list_bytes: (memory / 16.0) as usize,
+            list_bytes: (memory_bytes / 16.0) as usize,
             read_bytes: 8 * 1024,
-            held_bytes: (memory / 4.0) as usize,
+            held_bytes: (memory_bytes / 4.0) as usize,
             stack_bytes: 256 * 1024,
             backlog: 1024,
             accepts_a_turn: 16,
             reads_a_turn: 4,
             events: 128,
             clients,
-            host_connections: (sockets - clients).min((memory / 8.0 / (60.0 * 1024.0)) as usize),
+            host_connections: (sockets - clients).min((memory_bytes / 8.0 / (60.0 * 1024.0)) as usize),
             leaving,
             faults: 16,
             opening_ms: 1_200.0,
@@ -183,7 +192,7 @@
     }
 }
 
-/// The least that a configuration can say, for tests.
+/// The smallest valid configuration, for tests.
 #[cfg(test)]
 pub const MINIMAL_CONFIGURATION: &[u8] = br#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
     "limits":{"memory_mb":32,"sockets":256},"settings":{"balancers":1,"tick_s":0.005,"discovery":"automatic",
--- a/crates/router/src/limits/tests.rs
+++ b/crates/router/src/limits/tests.rs
@@ -14,8 +14,8 @@
 /// The platform sends clients for 0.4 s after a request to stop, and ends the process no sooner than the
 /// longest op timeout, of 3 s at most, and 0.7 s later.
 #[test]
-fn a_stop_keeps_its_order_and_its_time_whatever_the_op_timeouts() {
-    // Below a tenth of a second who comes last is refused, which is harmless.
+fn shutdown_steps_keep_their_order_and_the_granted_time_for_all_op_timeouts() {
+    // Below a tenth of a second the client that comes last is refused, which is harmless.
     for op_timeout_s in [0.1, 0.35, 0.7, 3.0, 12.0] {
         let l = limits(op_timeout_s);
         let granted = Duration::from_secs_f64(f64::min(op_timeout_s, 3.0) + 0.7);
@@ -25,27 +25,29 @@
     }
 }
 
-/// Whatever the last call fell into as the list had a change for it: a silence of as long as a call lasts,
-/// then another call that is refused, given up or answered as late as it may be.
+/// Covers what may happen to the call during which the list changes: it stays silent for as long as a call
+/// lasts, and the next one is refused, times out or is answered as late as possible.
 #[test]
-fn a_change_is_known_in_time_whatever_the_calls_before_fell_into() {
+fn a_list_change_is_known_in_time_whatever_happened_to_the_calls_before() {
     let l = limits(1.0);
-    let told = Duration::from_secs(6);
+    let deadline = Duration::from_secs(6);
     let watch = Duration::from_millis(l.list_wait_ms) + l.list_slack;
-    // Opening a connection is part of a call, and may take as long again where it comes up at the last
-    // moment.
-    let (dial, answer) = (l.list_slack, l.list_slack);
-    assert!(watch + dial + answer <= told, "a silent watch, then a call");
-    assert!(watch + l.list_again + dial + answer <= told, "the same, where the call in between is refused");
-    assert!(dial + l.list_again + dial + answer <= told, "connections that don't come up");
-    // The whole list is asked for without a wait, by a process that knows none.
+    // Connecting is part of a call, and may take its full time again where it succeeds at the last moment.
+    let (connect, answer) = (l.list_slack, l.list_slack);
+    assert!(watch + connect + answer <= deadline, "a silent watch, then a call");
+    assert!(
+        watch + l.list_again + connect + answer <= deadline,
+        "the same, where the call in between is refused"
+    );
+    assert!(connect + l.list_again + connect + answer <= deadline, "connections that don't come up");
+    // A process that knows no list asks for all of it without a wait.
     let ready = Duration::from_secs(10);
     assert!((l.list_slack + l.list_again) * 5 <= ready, "five calls without an answer");
 }
 
-/// All that may be open at once, beside what the router itself takes.
+/// Counts all descriptors that may be open at once, with those that the router itself uses.
 #[test]
-fn all_descriptors_together_keep_to_the_grant() {
+fn all_descriptors_together_stay_within_the_grant() {
     for sockets in [64, 100, 128, 512, 544, 672, 1024, 65_536] {
         let start = String::from_utf8(MINIMAL_CONFIGURATION.to_vec()).unwrap();
         let start = start.replace(r#""sockets":256"#, &format!(r#""sockets":{sockets}"#));
