--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -87,13 +87,13 @@
 }
 
 /// Takes a new configuration, all or nothing: a faulty file leaves everything as it was.
-fn reload(watches: &Arc<list::Watches>, now: &Value) {
+fn reload(watcher: &Arc<list::ListWatcher>, now: &Value) {
     match read_start() {
         Err(why) => tracing::warn!(%why, "configuration refused, the old one stays"),
         Ok((start, new)) => {
             let restart = startup::keys_requiring_restart(now, &new);
             tracing::info!(list = %start.list_addr, ?restart, "configuration read anew");
-            if !watches.follow(start.list_addr, None) {
+            if !watcher.follow(start.list_addr, None) {
                 tracing::warn!("no thread for the list: the old address stays");
             }
         }
@@ -103,7 +103,7 @@
 /// Reloads, one at a time, on a thread that is there for them alone: a file that can't be read to its end
 /// must not keep a request to stop waiting.
 struct Reloads {
-    watches: Arc<list::Watches>,
+    watcher: Arc<list::ListWatcher>,
     whole: Value,
     /// How often one has been asked for since the last that was known to be over.
     asked: AtomicUsize,
@@ -118,7 +118,7 @@
         let spawned = shared.spawn("reload", move || {
             loop {
                 let asked = reloads.asked.load(Acquire);
-                reload(&reloads.watches, &reloads.whole);
+                reload(&reloads.watcher, &reloads.whole);
                 // The file may have changed under one that was asked for meanwhile: read again, once for all.
                 if reloads.asked.fetch_sub(asked, AcqRel) == asked {
                     return;
@@ -191,7 +191,7 @@
         router.apply_host_list(known, true);
         tracing::info!("ready with the list as last known");
     }
-    let watches = list::Watches::new(shared.clone(), events.clone(), news, asked);
+    let watcher = list::ListWatcher::new(shared.clone(), events.clone(), news, asked);
     let client_loop =
         client_loop::ClientLoop::new(shared.clone(), names, events.clone(), poll, listener, wakeup)
             .map_err(|e| e.to_string())?;
@@ -202,10 +202,10 @@
         shared.spawn("peers", move || peers.run()).ok_or(none)?;
     }
     let clients = shared.spawn("clients", move || client_loop.run()).ok_or(none)?;
-    if !watches.follow(start.list_addr, start.last_known_list.as_ref()) {
+    if !watcher.follow(start.list_addr, start.last_known_list.as_ref()) {
         return Err(none.into());
     }
-    let reloads = Arc::new(Reloads { watches, whole, asked: AtomicUsize::new(0) });
+    let reloads = Arc::new(Reloads { watcher, whole, asked: AtomicUsize::new(0) });
     signals::wait(&shared, &mut signals, || reloads.ask(&shared));
     let emptied = clients.join();
     drop(events.send(event::Event::Stop));
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -1,4 +1,5 @@
-//! Watches the list of hosts: one thread an address, one call after another, renewed at once.
+//! Watches the host list: one thread per address makes one call after another, each as soon as the last has
+//! ended.
 
 use crate::event::Event;
 use crate::shared::Shared;
@@ -10,254 +11,279 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// What the list brings: a page, or that a call failed.
+/// What a call to the list brings: its response, or none where it failed.
 pub type ListUpdate = Option<Value>;
 
-/// Reads a page; each host goes straight into the call: id, address, the group's name, and what else is said
-/// of it (its group's number is left at 0). Zones go by their place among these names.
+/// Parses a list response and calls `visit` for each host with its id, its address, the name of its group and
+/// the rest of its entry, in which the number of the group is left at 0. Zones are numbered by their position
+/// in `zones`.
 pub fn parse_entries(
-    page: &Value,
+    response: &Value,
     zones: &[String],
-    mut take: impl FnMut(&str, SocketAddr, u64, HostEntry),
+    mut visit: impl FnMut(&str, SocketAddr, u64, HostEntry),
 ) -> Result<(), String> {
-    let hosts = page.get("servers").and_then(Value::as_array).ok_or("the list lacks 'servers'")?;
+    let hosts = response.get("servers").and_then(Value::as_array).ok_or("host list lacks 'servers'")?;
     for host in hosts {
-        let key = |key: &str| host.get(key).ok_or(format!("a host of the list lacks '{key}'"));
-        let wrong = |key: &str| format!("a host of the list has an odd '{key}'");
-        let id = key("id")?.as_str().ok_or_else(|| wrong("id"))?;
-        let addr = key("addr")?.as_str().and_then(|a| a.parse().ok()).ok_or_else(|| wrong("addr"))?;
-        let group = host.get("cell").map_or(Some(0), Value::as_u64).ok_or_else(|| wrong("cell"))?;
-        let phase = match key("state")?.as_str() {
+        let key = |key: &str| host.get(key).ok_or(format!("host list entry lacks '{key}'"));
+        let invalid = |key: &str| format!("host list entry has an invalid '{key}'");
+        let id = key("id")?.as_str().ok_or_else(|| invalid("id"))?;
+        let addr = key("addr")?.as_str().and_then(|a| a.parse().ok()).ok_or_else(|| invalid("addr"))?;
+        let group = host.get("cell").map_or(Some(0), Value::as_u64).ok_or_else(|| invalid("cell"))?;
+        let state = match key("state")?.as_str() {
             Some("Ready") => HostState::Ready,
             Some("Terminating") => HostState::Draining,
             Some("Gone") => HostState::Gone,
-            _ => return Err(wrong("state")),
+            _ => return Err(invalid("state")),
         };
-        let size = host.get("weight").and_then(Value::as_f64).unwrap_or(1.0);
+        let capacity = host.get("weight").and_then(Value::as_f64).unwrap_or(1.0);
         let started = host.get("started_ms").and_then(Value::as_f64).filter(|ms| *ms > 0.0);
         let primary =
             host.get("access").is_some_and(|v| v.as_str() == Some("writer") || v.as_f64() == Some(1.0));
-        let started = started.unwrap_or(f64::NEG_INFINITY);
+        let started_at = started.unwrap_or(f64::NEG_INFINITY);
         let zone = host.get("zone").and_then(Value::as_str);
         let zone = zone.and_then(|name| zones.iter().position(|z| z == name)).unwrap_or(usize::MAX);
-        take(
-            id,
-            addr,
-            group,
-            HostEntry { group: 0, state: phase, capacity: size, started_at: started, primary, zone },
-        );
+        visit(id, addr, group, HostEntry { group: 0, state, capacity, started_at, primary, zone });
     }
     Ok(())
 }
 
-pub fn is_complete(page: &Value) -> bool {
-    page.get("full").and_then(Value::as_bool).unwrap_or(false)
+/// Whether the response holds the whole list rather than the entries that changed.
+pub fn is_complete(response: &Value) -> bool {
+    response.get("full").and_then(Value::as_bool).unwrap_or(false)
 }
 
-fn version(page: &Value) -> Option<u64> {
-    page.get("version").and_then(Value::as_u64)
+fn version(response: &Value) -> Option<u64> {
+    response.get("version").and_then(Value::as_u64)
 }
 
-/// Where the list is called now. A configuration read anew names another address: the watch there starts at
-/// once, and what the old one still brings is dropped, so that late news never overtakes the new.
-pub struct Watches {
+/// Watches the list at its present address. When a reloaded configuration names another address, the watch
+/// there starts at once and all further responses from the old address are dropped, so that a late one never
+/// overtakes a newer one.
+pub struct ListWatcher {
     shared: Arc<Shared>,
     events: Sender<Event>,
-    news: Sender<ListUpdate>,
-    /// Taken where the module wants a call before its time has come.
-    again: Receiver<()>,
-    present: Mutex<Present>,
+    updates: Sender<ListUpdate>,
+    /// Receives requests of the policy to repeat a failed call at once.
+    retry_now: Receiver<()>,
+    current: Mutex<CurrentWatch>,
 }
 
+/// The watch that is in force.
 #[derive(Default)]
-struct Present {
-    turn: u64,
-    at: Option<SocketAddr>,
-    /// The connection that the present watch waits on.
+struct CurrentWatch {
+    generation: u64,
+    addr: Option<SocketAddr>,
+    /// The connection on which it waits.
     stream: Option<TcpStream>,
 }
 
-impl Watches {
+impl ListWatcher {
     pub fn new(
         shared: Arc<Shared>,
         events: Sender<Event>,
-        news: Sender<ListUpdate>,
-        again: Receiver<()>,
-    ) -> Arc<Watches> {
-        Arc::new(Watches { shared, events, news, again, present: Mutex::default() })
+        updates: Sender<ListUpdate>,
+        retry_now: Receiver<()>,
+    ) -> Arc<ListWatcher> {
+        Arc::new(ListWatcher { shared, events, updates, retry_now, current: Mutex::default() })
     }
 
-    fn present(&self) -> MutexGuard<'_, Present> {
-        self.present.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn current(&self) -> MutexGuard<'_, CurrentWatch> {
+        self.current.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Watches this address from now on, and no other; false where there is no thread to be had, and the old
+    /// Watches this address from now on, and no other; false where no thread can be started, and the old
     /// address stays.
-    pub fn follow(self: &Arc<Watches>, at: SocketAddr, known: Option<&Value>) -> bool {
-        let mut present = self.present();
-        if present.at == Some(at) {
+    pub fn follow(self: &Arc<ListWatcher>, addr: SocketAddr, known: Option<&Value>) -> bool {
+        let mut current = self.current();
+        if current.addr == Some(addr) {
             return true;
         }
-        let (watches, have, turn) = (self.clone(), known.and_then(version), present.turn + 1);
-        // It finds its turn come once this lock is let go.
-        if self.shared.spawn("list", move || watches.watch(turn, at, have)).is_none() {
+        let (watcher, known_version, generation) =
+            (self.clone(), known.and_then(version), current.generation + 1);
+        // The thread finds its generation in force once this lock is released.
+        if self.shared.spawn("list", move || watcher.watch(generation, addr, known_version)).is_none() {
             return false;
         }
-        if let Some(old) = present.stream.take() {
+        if let Some(old) = current.stream.take() {
             drop(old.shutdown(Shutdown::Both));
         }
-        (present.turn, present.at) = (turn, Some(at));
+        (current.generation, current.addr) = (generation, Some(addr));
         true
     }
 
-    /// Hands news on; false where another address has taken over.
-    fn tell(&self, turn: u64, page: ListUpdate) -> bool {
-        let present = self.present();
-        if present.turn != turn {
+    /// Passes an update on; false where another address has taken over.
+    fn publish(&self, generation: u64, response: ListUpdate) -> bool {
+        let current = self.current();
+        if current.generation != generation {
             return false;
         }
-        drop(self.news.send(page));
+        drop(self.updates.send(response));
         drop(self.events.send(Event::ListResponse));
         true
     }
 
-    /// Notes what a watch is about to wait on; false where another address has taken over.
-    fn waits_on(&self, turn: u64, stream: &TcpStream) -> bool {
-        let mut present = self.present();
-        // A watch of the address before must not let go of the present one's connection.
-        let is_present = present.turn == turn;
-        if is_present {
-            present.stream = stream.try_clone().ok();
+    /// Records the connection on which a watch is about to wait; false where another address has taken over.
+    fn set_connection(&self, generation: u64, stream: &TcpStream) -> bool {
+        let mut current = self.current();
+        // A watch of the former address must not release the connection of the current one.
+        let is_current = current.generation == generation;
+        if is_current {
+            current.stream = stream.try_clone().ok();
         }
-        is_present
+        is_current
     }
 
-    fn watch(&self, turn: u64, at: SocketAddr, mut have: Option<u64>) {
+    fn watch(&self, generation: u64, addr: SocketAddr, mut known_version: Option<u64>) {
         let limits = &self.shared.limits;
-        let mut line = None;
+        let mut connection = None;
         let mut failing = false;
         loop {
-            let called = Instant::now();
-            match self.call(turn, at, have, &mut line) {
-                Ok(page) => {
+            let started_at = Instant::now();
+            match self.request(generation, addr, known_version, &mut connection) {
+                Ok(response) => {
                     if std::mem::take(&mut failing) {
-                        tracing::info!(version = version(&page), "list answers again");
+                        tracing::info!(version = version(&response), "list answers again");
                     }
-                    let new = version(&page).or(have);
-                    if new <= have {
-                        // A list that answers at once without news must not take all of the core.
-                        std::thread::sleep(limits.list_pause.saturating_sub(called.elapsed()));
+                    let new_version = version(&response).or(known_version);
+                    if new_version <= known_version {
+                        // A list that answers at once without a change must not use up a whole core.
+                        std::thread::sleep(limits.list_pause.saturating_sub(started_at.elapsed()));
                     }
-                    if new < have {
-                        // Late, or of a service that has begun anew: the whole list tells, whatever its
-                        // version.
-                        tracing::warn!(version = new, have, "a page is older than the list");
-                        have = None;
+                    if new_version < known_version {
+                        // A late response, or a service that has restarted: the whole list is asked for,
+                        // which holds whatever its version.
+                        tracing::warn!(
+                            version = new_version,
+                            have = known_version,
+                            "list response is older than the known list"
+                        );
+                        known_version = None;
                         continue;
                     }
-                    have = new;
-                    if !self.tell(turn, Some(page)) {
+                    known_version = new_version;
+                    if !self.publish(generation, Some(response)) {
                         return;
                     }
                 }
                 Err(why) => {
-                    line = None;
-                    if !self.tell(turn, None) {
+                    connection = None;
+                    if !self.publish(generation, None) {
                         return;
                     }
                     if !std::mem::replace(&mut failing, true) {
-                        tracing::warn!(%why, %at, "list failed");
+                        tracing::warn!(%why, at = %addr, "list failed");
                     }
-                    while self.again.try_recv().is_ok() {}
-                    // What failed by falling silent has waited already.
-                    let _ = self.again.recv_timeout(limits.list_again.saturating_sub(called.elapsed()));
+                    while self.retry_now.try_recv().is_ok() {}
+                    // A call that failed by silence has waited long enough already.
+                    let _ =
+                        self.retry_now.recv_timeout(limits.list_again.saturating_sub(started_at.elapsed()));
                 }
             }
         }
     }
 
-    /// One call, on the connection of the last one where that is still open.
-    fn call(
+    /// Makes one call, on the connection of the last one if that is still open.
+    fn request(
         &self,
-        turn: u64,
-        at: SocketAddr,
-        have: Option<u64>,
-        line: &mut Option<TcpStream>,
+        generation: u64,
+        addr: SocketAddr,
+        known_version: Option<u64>,
+        connection: &mut Option<TcpStream>,
     ) -> Result<Value, String> {
         let limits = &self.shared.limits;
-        let path = match have {
+        let path = match known_version {
             Some(version) => format!("/discovery/hosts?after={version}&wait_ms={}", limits.list_wait_ms),
             None => "/discovery/hosts".to_string(),
         };
-        let request = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nAccept: application/json\r\n\r\n");
-        let waits = std::time::Duration::from_millis(if have.is_some() { limits.list_wait_ms } else { 0 });
-        let until = Instant::now() + waits + limits.list_slack;
-        let kept = line.take();
-        let mut first = kept.is_some();
-        let mut stream = match kept {
+        let request = format!("GET {path} HTTP/1.1\r\nHost: {addr}\r\nAccept: application/json\r\n\r\n");
+        let wait =
+            std::time::Duration::from_millis(if known_version.is_some() { limits.list_wait_ms } else { 0 });
+        let deadline = Instant::now() + wait + limits.list_slack;
+        let reused = connection.take();
+        let mut is_reused = reused.is_some();
+        let mut stream = match reused {
             Some(stream) => stream,
-            None => dial(&self.shared, at)?,
+            None => connect(&self.shared, addr)?,
         };
         loop {
-            if !self.waits_on(turn, &stream) {
-                return Err("another address has taken over".into());
+            if !self.set_connection(generation, &stream) {
+                return Err("superseded by another address".into());
             }
             let written = stream.write_all(request.as_bytes()).map_err(|e| e.to_string());
-            match written.and_then(|()| read(&mut stream, until, limits.list_bytes, limits.read_bytes)) {
-                Ok((page, keep)) => {
-                    let page: Value = serde_json::from_slice(&page).map_err(|e| format!("no JSON: {e}"))?;
-                    parse_entries(&page, &[], |_, _, _, _| ())?;
-                    *line = keep.then_some(stream);
-                    return Ok(page);
+            match written
+                .and_then(|()| read_response(&mut stream, deadline, limits.list_bytes, limits.read_bytes))
+            {
+                Ok((response, keep_alive)) => {
+                    let response: Value = serde_json::from_slice(&response)
+                        .map_err(|e| format!("response is not JSON: {e}"))?;
+                    parse_entries(&response, &[], |_, _, _, _| ())?;
+                    *connection = keep_alive.then_some(stream);
+                    return Ok(response);
                 }
                 // A connection kept from the last call may have been closed meanwhile.
-                Err(why) if std::mem::take(&mut first) && why == ENDED => stream = dial(&self.shared, at)?,
+                Err(why) if std::mem::take(&mut is_reused) && why == ENDED_EARLY => {
+                    stream = connect(&self.shared, addr)?
+                }
                 Err(why) => return Err(why),
             }
         }
     }
 }
 
-const ENDED: &str = "the connection ended before an answer";
+const ENDED_EARLY: &str = "connection ended before a response";
 
-fn dial(shared: &Shared, at: SocketAddr) -> Result<TcpStream, String> {
-    let stream = TcpStream::connect_timeout(&at, shared.limits.list_slack).map_err(|e| e.to_string())?;
+fn connect(shared: &Shared, addr: SocketAddr) -> Result<TcpStream, String> {
+    let stream = TcpStream::connect_timeout(&addr, shared.limits.list_slack).map_err(|e| e.to_string())?;
     stream.set_nodelay(true).map_err(|e| e.to_string())?;
     stream.set_write_timeout(Some(shared.limits.list_slack)).map_err(|e| e.to_string())?;
     Ok(stream)
 }
 
-/// One answer: its body, and whether the connection may be used again.
-fn read(from: &mut TcpStream, until: Instant, most: usize, chunk: usize) -> Result<(Vec<u8>, bool), String> {
+/// Reads one response; returns its body, and whether the connection can be used again.
+fn read_response(
+    from: &mut TcpStream,
+    deadline: Instant,
+    max_bytes: usize,
+    chunk_bytes: usize,
+) -> Result<(Vec<u8>, bool), String> {
     let mut buf = Vec::new();
     loop {
-        let ended = match fill(from, until, &mut buf, chunk) {
+        let ended = match read_chunk(from, deadline, &mut buf, chunk_bytes) {
             Ok(ended) => ended,
-            Err(why) if buf.is_empty() && why != SILENT => return Err(ENDED.into()),
+            Err(why) if buf.is_empty() && why != SILENT => return Err(ENDED_EARLY.into()),
             Err(why) => return Err(why),
         };
-        if let Some(whole) = answer(&buf, ended)? {
+        if let Some(whole) = parse_response(&buf, ended)? {
             return Ok(whole);
         }
         if ended {
-            return Err(if buf.is_empty() { ENDED.into() } else { "the answer is cut short".into() });
+            return Err(if buf.is_empty() {
+                ENDED_EARLY.into()
+            } else {
+                "response ended before it was complete".into()
+            });
         }
-        if buf.len() > most {
-            return Err(format!("the answer is longer than {most} bytes"));
+        if buf.len() > max_bytes {
+            return Err(format!("host list response is longer than {max_bytes} bytes"));
         }
     }
 }
 
 const SILENT: &str = "silent";
 
-fn fill(from: &mut TcpStream, until: Instant, buf: &mut Vec<u8>, chunk: usize) -> Result<bool, String> {
-    let left = until.saturating_duration_since(Instant::now());
+fn read_chunk(
+    from: &mut TcpStream,
+    deadline: Instant,
+    buf: &mut Vec<u8>,
+    chunk_bytes: usize,
+) -> Result<bool, String> {
+    let left = deadline.saturating_duration_since(Instant::now());
     if left.is_zero() {
         return Err(SILENT.into());
     }
     from.set_read_timeout(Some(left)).map_err(|e| e.to_string())?;
     let length = buf.len();
-    buf.resize(length + chunk, 0);
+    buf.resize(length + chunk_bytes, 0);
     let read = from.read(&mut buf[length..]);
     buf.truncate(length + *read.as_ref().unwrap_or(&0));
     match read {
@@ -268,39 +294,40 @@
     }
 }
 
-/// The answer in the buffer: body, and whether the connection stays open. None where bytes are missing.
-pub fn answer(buf: &[u8], ended: bool) -> Result<Option<(Vec<u8>, bool)>, String> {
+/// Parses the response in the buffer: its body, and whether the connection stays open. None where bytes are
+/// missing.
+pub fn parse_response(buf: &[u8], ended: bool) -> Result<Option<(Vec<u8>, bool)>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut headers);
-    let parsed = head.parse(buf).map_err(|e| format!("no HTTP: {e}"))?;
+    let parsed = head.parse(buf).map_err(|e| format!("response is not HTTP: {e}"))?;
     let httparse::Status::Complete(start) = parsed else { return Ok(None) };
     if head.code != Some(200) {
-        return Err(format!("status {}", head.code.unwrap_or(0)));
+        return Err(format!("HTTP status {}", head.code.unwrap_or(0)));
     }
     let header = |name: &str| {
         let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
         found.map(|h| String::from_utf8_lossy(h.value).trim().to_ascii_lowercase())
     };
-    let keep = header("connection").as_deref() != Some("close") && head.version == Some(1) && !ended;
+    let keep_alive = header("connection").as_deref() != Some("close") && head.version == Some(1) && !ended;
     let body = &buf[start..];
     if header("transfer-encoding").is_some_and(|coding| coding.ends_with("chunked")) {
-        return Ok(chunks(body)?.map(|whole| (whole, keep)));
+        return Ok(decode_chunked(body)?.map(|whole| (whole, keep_alive)));
     }
     if let Some(length) = header("content-length") {
-        let length: usize = length.parse().map_err(|_| "an odd content-length")?;
-        return Ok(body.get(..length).map(|whole| (whole.to_vec(), keep)));
+        let length: usize = length.parse().map_err(|_| "invalid content-length")?;
+        return Ok(body.get(..length).map(|whole| (whole.to_vec(), keep_alive)));
     }
-    // Neither: the body goes on until the connection ends.
+    // Neither: the body lasts until the connection ends.
     Ok(ended.then(|| (body.to_vec(), false)))
 }
 
-fn chunks(mut body: &[u8]) -> Result<Option<Vec<u8>>, String> {
+fn decode_chunked(mut body: &[u8]) -> Result<Option<Vec<u8>>, String> {
     let mut whole = Vec::new();
     loop {
-        let size = httparse::parse_chunk_size(body).map_err(|_| "an odd chunk size")?;
+        let size = httparse::parse_chunk_size(body).map_err(|_| "invalid chunk size")?;
         let httparse::Status::Complete((start, size)) = size else { return Ok(None) };
         let Some(end) = usize::try_from(size).ok().and_then(|size| start.checked_add(size)) else {
-            return Err("an odd chunk size".into());
+            return Err("invalid chunk size".into());
         };
         let Some(rest) = body.get(end..).filter(|rest| rest.len() >= 2) else { return Ok(None) };
         if size == 0 {
