--- a/crates/router/src/client_loop.rs
+++ b/crates/router/src/client_loop.rs
@@ -47,9 +47,9 @@
     scratch: Vec<u8>,
     next: u64,
     budget: Budget,
-    room: AdmissionLimits,
-    opens: AcceptLimiter,
-    budget_at: f64,
+    admission: AdmissionLimits,
+    accept_limiter: AcceptLimiter,
+    next_budget_at: f64,
     /// Until when clients are still accepted from the queue; none before the grace period is over.
     accept_until: Option<f64>,
     /// Whether all clients are being drained.
@@ -70,10 +70,10 @@
         let scratch = vec![0; shared.limits.read_bytes];
         let budget = Budget::new(shared.limits.cores, shared.limits.open_ms, shared.limits.refuse_ms);
         Ok(ClientLoop {
-            room: budget.admission_limits(),
+            admission: budget.admission_limits(),
             budget,
-            opens: AcceptLimiter::default(),
-            budget_at: 0.0,
+            accept_limiter: AcceptLimiter::default(),
+            next_budget_at: 0.0,
             shared,
             parser,
             events,
@@ -148,16 +148,16 @@
     /// Measures the processor time that the process has used, and sets what may be admitted from it.
     fn update_budget(&mut self) {
         let now = self.shared.clock.now();
-        if now < self.budget_at {
+        if now < self.next_budget_at {
             return;
         }
-        self.budget_at = now + self.shared.limits.budget_ms;
+        self.next_budget_at = now + self.shared.limits.budget_ms;
         let used = rustix::time::clock_gettime(rustix::time::ClockId::ProcessCPUTime);
         let used = used.tv_sec as f64 * 1e3 + used.tv_nsec as f64 / 1e6;
-        let room = self.budget.update(now, used, self.shared.refused.load(Relaxed));
-        let before = std::mem::replace(&mut self.room, room);
+        let admission = self.budget.update(now, used, self.shared.refused.load(Relaxed));
+        let before = std::mem::replace(&mut self.admission, admission);
         let AdmissionLimits { mode, batch_delay_ms, accepts_per_second, admitted_share, retry_after_ms } =
-            self.room;
+            self.admission;
         self.shared.batch_pause_us.store((batch_delay_ms * 1e3) as u64, Relaxed);
         if (admitted_share, retry_after_ms) != (before.admitted_share, before.retry_after_ms) {
             drop(self.events.send(Event::AdmissionChanged { share: admitted_share, retry_after_ms }));
@@ -265,13 +265,13 @@
             // use up evictions. Where all are busy, or too many are still draining, new ones wait in the
             // accept queue.
             let (max_clients, max_connections) = (limits.clients, limits.clients + limits.leaving);
-            let room = self.not_draining() < max_clients || self.make_room();
-            if !room || self.shared.clients() >= max_connections {
+            let has_room = self.not_draining() < max_clients || self.make_room();
+            if !has_room || self.shared.clients() >= max_connections {
                 return;
             }
             let Some(listener) = &self.listener else { return };
             // A connection in the kernel's accept queue costs nothing, an open one does.
-            if !self.opens.take(self.shared.clock.now(), self.room.accepts_per_second) {
+            if !self.accept_limiter.take(self.shared.clock.now(), self.admission.accepts_per_second) {
                 return;
             }
             match rustix::net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
