--- a/src/policy_tests.rs
+++ b/src/policy_tests.rs
@@ -194,7 +194,7 @@
         h.pos = pos.map_or(h.pos, |p| p.max(h.pos));
         self.policy.host_reported(self.now, host, role, pos, answer);
         match role {
-            Some(Role::Primary) => h.excused = self.policy.hosts[host].excused,
+            Some(Role::Primary) => h.excused = self.policy.hosts[host].is_freshness_exempt,
             Some(Role::Replica) if answer => h.excused = false,
             _ => {}
         }
@@ -295,7 +295,7 @@
         for (id, plain) in self.ops.iter().enumerate() {
             let Some(slot) = self.policy.ops.find(id as OpId) else { continue };
             for host in 0..self.hosts.len() {
-                let verdict = self.policy.allowed(self.policy.ops.get(slot), host, self.now);
+                let verdict = self.policy.is_allowed(self.policy.ops.get(slot), host, self.now);
                 assert_eq!(
                     verdict,
                     self.model_allows(plain, host),
@@ -451,7 +451,7 @@
     let mut rig = Rig::settled(terms(), 1, 4);
     let first = rig.arrive(WRITE, 0, PATIENCE, 0.0);
     rig.end(first, 0, Ending::Reset);
-    rig.beats(PROBE_MS + 10.0);
+    rig.beats(PROBE_INTERVAL_MS + 10.0);
     let ops: Vec<_> = (0..5).map(|_| rig.arrive(WRITE, 0, PATIENCE, 0.0)).collect();
     let sent = ops.iter().filter(|o| rig.host_of(**o).is_some()).count();
     assert_eq!(sent, 1);
@@ -491,13 +491,13 @@
         let host = rig.host_of(read).unwrap();
         rig.now += 1.0;
         rig.end(read, 0, Ending::Reset);
-        assert!(!rig.policy.hosts[host].silent && rig.policy.hosts[host].probe_out);
+        assert!(!rig.policy.hosts[host].is_unresponsive && rig.policy.hosts[host].is_probe_in_flight);
         // A probe's own connection may be reset, but not twice in a row.
         rig.policy.probe_ended(rig.now, &mut rig.sink, host, Ending::Reset, 1.0);
-        assert!(!rig.policy.hosts[host].silent && rig.policy.hosts[host].probe_out);
+        assert!(!rig.policy.hosts[host].is_unresponsive && rig.policy.hosts[host].is_probe_in_flight);
         rig.policy.probe_ended(rig.now, &mut rig.sink, host, ending, 1.0);
-        assert_eq!(rig.policy.hosts[host].silent, silent);
-        rig.beats(2.0 * PROBE_MS);
+        assert_eq!(rig.policy.hosts[host].is_unresponsive, silent);
+        rig.beats(2.0 * PROBE_INTERVAL_MS);
         rig.refresh(3);
         rig.beat();
     }
@@ -513,7 +513,7 @@
         assert_eq!(rig.host_of(write), Some(0));
         rig.now += 1.0;
         rig.end(write, 0, Ending::Unreached);
-        rig.beats(PROBE_MS - 10.0);
+        rig.beats(PROBE_INTERVAL_MS - 10.0);
         let held = rig.arrive(WRITE, 0, PATIENCE, 0.0);
         assert_eq!(rig.host_of(held), None);
         rig.beats(20.0);
@@ -529,9 +529,9 @@
     let mut rig = Rig::settled(terms(), 1, 3);
     rig.policy.probe_ended(rig.now, &mut rig.sink, 1, Ending::Unreached, 1.0);
     rig.beats(2000.0);
-    assert!(rig.policy.hosts[1].silent);
+    assert!(rig.policy.hosts[1].is_unresponsive);
     rig.list(&[0, 1, 2].map(|m| (HostState::Ready, if m == 1 { rig.now } else { f64::NEG_INFINITY })));
-    assert!(!rig.policy.hosts[1].silent);
+    assert!(!rig.policy.hosts[1].is_unresponsive);
 }
 
 /// One fresh replica, full, beside a primary with nothing to do: reads once were shed between the two.
@@ -539,9 +539,9 @@
 fn where_few_replicas_are_fresh_and_full_reads_spill() {
     let mut rig = Rig::settled(PolicyOptions { hosts_reject_stale_reads: true, ..terms() }, 1, 4);
     for host in 2..4 {
-        rig.policy.hosts[host].pos = rig.now - 10.0 * BOUND;
+        rig.policy.hosts[host].position = rig.now - 10.0 * BOUND;
     }
-    rig.policy.hosts[1].limit = 1.0;
+    rig.policy.hosts[1].in_flight_limit = 1.0;
     for _ in 0..4 {
         rig.arrive(WRITE, 0, PATIENCE, 0.0);
     }
@@ -556,10 +556,10 @@
     let mut rig = Rig::settled(PolicyOptions { hosts_reject_stale_reads: true, ..terms() }, 1, 4);
     for (host, lag, ago) in [(2, 6000.0, 0.0), (3, 700.0, 1000.0)] {
         let h = &mut rig.policy.hosts[host];
-        (h.turn, h.pos, h.pos_at) = (host as f64, rig.now - ago - lag, rig.now - ago);
+        (h.rotation_position, h.position, h.position_at) = (host as f64, rig.now - ago - lag, rig.now - ago);
     }
     rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
-    assert!(rig.policy.hosts[3].probe_out && !rig.policy.hosts[2].probe_out);
+    assert!(rig.policy.hosts[3].is_probe_in_flight && !rig.policy.hosts[2].is_probe_in_flight);
 }
 
 #[test]
@@ -593,7 +593,7 @@
     rig.arrive(WRITE, 0, PATIENCE, 0.0);
     rig.beats(20.0);
     rig.policy.probe_ended(rig.now, &mut rig.sink, 0, Ending::TimedOut, 10.0);
-    assert!(rig.policy.hosts[0].silent);
+    assert!(rig.policy.hosts[0].is_unresponsive);
     let later = rig.arrive(WRITE, 0, PATIENCE, 0.0);
     assert_eq!(rig.host_of(later), None);
 }
@@ -601,7 +601,7 @@
 #[test]
 fn a_silent_replica_is_left_and_its_reads_move_on() {
     let mut rig = Rig::settled(terms(), 1, 3);
-    rig.policy.types[ANY].usual = 20.0;
+    rig.policy.op_types[ANY].usual_ms = 20.0;
     let ops: Vec<_> = (0..12).map(|_| rig.arrive(ANY, 0, PATIENCE, 0.0)).collect();
     for op in ops.iter().filter(|o| rig.host_of(**o) == Some(2)).copied().collect::<Vec<_>>() {
         rig.end(op, 0, Ending::Acked);
@@ -609,7 +609,7 @@
     rig.beats(50.0);
     rig.policy.probe_ended(rig.now, &mut rig.sink, 1, Ending::TimedOut, 10.0);
     rig.beat();
-    assert!(rig.policy.hosts[1].silent && !rig.policy.hosts[2].silent);
+    assert!(rig.policy.hosts[1].is_unresponsive && !rig.policy.hosts[2].is_unresponsive);
     let stuck = *ops.iter().find(|o| rig.host_of(**o) == Some(1)).unwrap();
     rig.end(stuck, 0, Ending::Withdrawn);
     assert_eq!(rig.host_of(stuck), Some(2));
@@ -634,16 +634,16 @@
 fn an_outlier_is_ejected_and_proves_itself_again() {
     let mut rig = Rig::settled(terms(), 1, 4);
     serve(&mut rig, 4, 300, |host| if host == 2 { 250.0 } else { 50.0 });
-    assert!(rig.policy.hosts[2].ejected);
+    assert!(rig.policy.hosts[2].is_ejected);
     serve(&mut rig, 4, 400, |_| 50.0);
-    assert!(!rig.policy.hosts[2].ejected);
+    assert!(!rig.policy.hosts[2].is_ejected);
 }
 
 #[test]
 fn two_slow_of_three_show_against_the_fleet() {
     let mut rig = Rig::settled(terms(), 3, 4);
     serve(&mut rig, 4, 900, |host| if host == 1 || host == 2 { 250.0 } else { 50.0 });
-    let out: Vec<_> = (0..12).filter(|h| rig.policy.hosts[*h].ejected).collect();
+    let out: Vec<_> = (0..12).filter(|h| rig.policy.hosts[*h].is_ejected).collect();
     assert_eq!(out, [1, 2]);
 }
 
@@ -663,7 +663,7 @@
 #[test]
 fn sends_not_waited_for_to_their_end_count_in_what_sends_take() {
     let mut rig = Rig::settled(terms(), 1, 3);
-    (rig.policy.types[ANY].usual, rig.policy.types[ANY].took) = (60.0, 60.0);
+    (rig.policy.op_types[ANY].usual_ms, rig.policy.op_types[ANY].send_ms) = (60.0, 60.0);
     for n in 0..400 {
         rig.refresh(3);
         let op = rig.arrive(ANY, 0, PATIENCE, 0.0);
@@ -672,10 +672,10 @@
         rig.ops[op].answers = 1;
         rig.policy.client_left(rig.now, &mut rig.sink, &[op as OpId]);
     }
-    let t = &rig.policy.types[ANY];
+    let t = &rig.policy.op_types[ANY];
     // An answer for 140 ms of waiting: as long as that it takes where what is left does not hang on what has
     // passed.
-    assert!(t.usual < 50.0 && (120.0..160.0).contains(&t.took), "{} {}", t.usual, t.took);
+    assert!(t.usual_ms < 50.0 && (120.0..160.0).contains(&t.send_ms), "{} {}", t.usual_ms, t.send_ms);
     rig.refresh(3);
     let short = rig.arrive(ANY, 0, 100.0, 0.0);
     assert_eq!((rig.ops[short].answers, rig.ops[short].sends.len()), (1, 0));
@@ -709,8 +709,8 @@
     let ops: Vec<_> = (0..60).map(|_| rig.arrive(ANY, 0, PATIENCE, 0.0)).collect();
     rig.beats(100.0);
     let sent = ops.iter().filter(|o| rig.host_of(**o) == Some(1)).count() as f64;
-    let worst = 2.5 * 0.2 * rig.policy.warm[0].per_ms() * 2000.0;
-    assert!(sent * rig.policy.types[ANY].usual <= worst + 60.0, "{sent} sends");
+    let worst = 2.5 * 0.2 * rig.policy.warm_rates[0].per_ms() * 2000.0;
+    assert!(sent * rig.policy.op_types[ANY].usual_ms <= worst + 60.0, "{sent} sends");
 }
 
 #[test]
@@ -728,7 +728,7 @@
             rig.end(op, rig.ops[op].sends.len() - 1, ending);
         }
     }
-    let out: Vec<_> = (0..4).filter(|h| rig.policy.hosts[*h].ejected).collect();
+    let out: Vec<_> = (0..4).filter(|h| rig.policy.hosts[*h].is_ejected).collect();
     assert_eq!(out, [3]);
 }
 
@@ -745,8 +745,8 @@
     }
     let slot = rig.policy.ops.find(stuck as OpId).unwrap();
     let send = &rig.policy.ops.get(slot).sends[0];
-    assert!(send.lost && send.withdrawn);
-    assert_eq!(rig.policy.hosts[1].load, 0.0);
+    assert!(send.is_lost && send.is_withdrawn);
+    assert_eq!(rig.policy.hosts[1].in_flight_weight, 0.0);
 }
 
 #[test]
@@ -773,7 +773,7 @@
         serve(&mut rig, 4, 3, |_| 20.0);
         rig.refresh(4);
         if !fresh {
-            rig.beats(SPREAD_LAG * BOUND + 10.0);
+            rig.beats(CAUGHT_UP_BOUND_SHARE * BOUND + 10.0);
         }
         let ops: Vec<_> = (0..6).map(|_| rig.arrive(ANY, 0, 8000.0, 0.0)).collect();
         assert!(ops[..5].iter().all(|o| rig.host_of(*o) == Some(1)));
@@ -849,7 +849,7 @@
 
 /// One write that gets no connection after `took`, and the probe's word that the host is up.
 fn no_connection(rig: &mut Rig, took: f64) {
-    rig.policy.types[WRITE].usual = 10.0;
+    rig.policy.op_types[WRITE].usual_ms = 10.0;
     let op = rig.arrive(WRITE, 0, took + 30.0, 0.0);
     rig.beats(took);
     rig.end(op, 0, Ending::Unreached);
@@ -862,7 +862,7 @@
     // Grown hobart: hosts that took few connections were set aside as dead, primaries for seconds.
     let mut rig = Rig::settled(terms(), 1, 3);
     no_connection(&mut rig, 5.0);
-    assert!(!rig.policy.hosts[0].silent && rig.policy.primary_of(0) == Some(0));
+    assert!(!rig.policy.hosts[0].is_unresponsive && rig.policy.primary_of(0) == Some(0));
     // Idle connections keep other routers out of a host that takes few. On sockets one new connection that its
     // host reset once had all closed after use for ten seconds.
     for few in [false, true] {
@@ -880,12 +880,12 @@
 #[test]
 fn a_host_long_gone_is_forgotten_once_nothing_names_it() {
     let mut rig = Rig::settled(terms(), 1, 3);
-    let read = rig.arrive(ANY, 0, 20.0 * MEMORY, 0.0);
+    let read = rig.arrive(ANY, 0, 20.0 * RETENTION_MS, 0.0);
     let host = rig.host_of(read).unwrap();
     let phase = |m| if m == host { HostState::Gone } else { HostState::Ready };
     rig.list(&[0, 1, 2].map(|m| (phase(m), f64::NEG_INFINITY)));
     assert!(!rig.policy.release_host(rig.now, host));
-    rig.now += 2.0 * MEMORY;
+    rig.now += 2.0 * RETENTION_MS;
     assert!(
         !rig.policy.release_host(rig.now, host) && !rig.policy.release_host(rig.now, 0),
         "one is out, one is ready"
@@ -908,16 +908,16 @@
     assert_eq!((rig.host_of(late), rig.host_of(more)), (Some(1), None));
     rig.beats(320.0);
     let slot = rig.policy.ops.find(late as OpId).unwrap();
-    assert!(rig.policy.ops.get(slot).done && !rig.policy.ops.get(slot).sends[0].withdrawn);
+    assert!(rig.policy.ops.get(slot).is_answered && !rig.policy.ops.get(slot).sends[0].is_withdrawn);
 }
 
 #[test]
 fn the_share_let_through_to_an_idle_host_regrows() {
     // Grown hobart: after a slow spell shares of a tenth stayed, as only served ops raised them.
     let mut rig = Rig::settled(PolicyOptions { routers: 100.0, ..terms() }, 1, 2);
-    rig.policy.hosts[0].limit = SHARE_LEAST;
-    rig.beats(3.0 * MEMORY);
-    assert!(rig.policy.hosts[0].limit >= LIMIT_LEAST);
+    rig.policy.hosts[0].in_flight_limit = MIN_SHARE;
+    rig.beats(3.0 * RETENTION_MS);
+    assert!(rig.policy.hosts[0].in_flight_limit >= MIN_LIMIT);
 }
 
 #[test]
@@ -983,10 +983,10 @@
         };
         let mut rig = Rig::settled(prices, 1, 4);
         rig.refresh(4);
-        (rig.policy.hosts[1].pos, rig.policy.hosts[1].turn) = (rig.now - 3.0 * BOUND, -1.0);
-        rig.now += PROBE_MOST;
+        (rig.policy.hosts[1].position, rig.policy.hosts[1].rotation_position) = (rig.now - 3.0 * BOUND, -1.0);
+        rig.now += MAX_PROBE_INTERVAL_MS;
         let read = rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
-        assert_eq!((rig.host_of(read) == Some(1), rig.policy.hosts[1].probe_out), (dear, !dear));
+        assert_eq!((rig.host_of(read) == Some(1), rig.policy.hosts[1].is_probe_in_flight), (dear, !dear));
         if dear {
             rig.end(read, 0, Ending::Missed);
             let next = rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
@@ -1014,7 +1014,7 @@
         for _ in 0..60 {
             rig.arrive(ANY, 0, PATIENCE, 0.0);
         }
-        let busy = (1..5).filter(|m| !rig.policy.hosts[*m].out.is_empty()).count();
+        let busy = (1..5).filter(|m| !rig.policy.hosts[*m].in_flight.is_empty()).count();
         assert_eq!(busy, 4);
     }
 }
@@ -1029,7 +1029,7 @@
         let mut seen = std::collections::BTreeSet::new();
         for _ in 0..30 {
             rig.refresh(4);
-            rig.policy.hosts.iter_mut().for_each(|h| h.limit = LIMIT_START);
+            rig.policy.hosts.iter_mut().for_each(|h| h.in_flight_limit = INITIAL_LIMIT);
             let read = rig.arrive(ANY, 0, 8000.0, 0.0);
             seen.insert(rig.host_of(read).unwrap());
             rig.beats(took);
@@ -1093,7 +1093,7 @@
     assert!([1, 3, 4].iter().all(|h| went.iter().filter(|w| *w == h).count() > (100 - kept) / 5), "{went:?}");
     // Behind, or with no room, it is passed over.
     let mut rig = near(2);
-    rig.policy.hosts[2].limit = LIMIT_LEAST;
+    rig.policy.hosts[2].in_flight_limit = MIN_LIMIT;
     let (first, second) = (rig.arrive(BOUNDED, 0, PATIENCE, 0.0), rig.arrive(BOUNDED, 0, PATIENCE, 0.0));
     assert!(rig.host_of(first) == Some(2) && rig.host_of(second) != Some(2));
     let mut rig = near(2);
@@ -1120,7 +1120,7 @@
         rig.end(write, 0, Ending::Missed);
         let fresh = rig.arrive(FRESH, 0, PATIENCE, 0.0);
         assert_eq!(rig.host_of(fresh), None, "no read goes by a peer_fact alone");
-        let probed: Vec<usize> = (0..5).filter(|h| rig.policy.hosts[*h].probe_out).collect();
+        let probed: Vec<usize> = (0..5).filter(|h| rig.policy.hosts[*h].is_probe_in_flight).collect();
         assert_eq!(probed, told.map_or(vec![0, 1, 2, 3, 4], |t| vec![t]));
         let tried = rig.ops[write].sends[1].0;
         assert!(told.is_none_or(|t| t == tried));
@@ -1129,7 +1129,7 @@
             rig.told(2, Some(Role::Replica), Some(rig.now), true);
             rig.end(write, 1, Ending::Missed);
             rig.beats(300.0);
-            assert!(rig.policy.hosts[3].probe_out);
+            assert!(rig.policy.hosts[3].is_probe_in_flight);
         }
     }
 }
@@ -1155,7 +1155,7 @@
                 PeerReport::ReplicaLag { lag_ms: -9e9, at: now + 9e9 },
             );
         }
-        assert_eq!(rig.policy.hosts[1].pos > now - 100.0, checked);
+        assert_eq!(rig.policy.hosts[1].position > now - 100.0, checked);
         let read = rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
         assert!(checked || rig.host_of(read).is_none_or(|h| h == 0));
     }
@@ -1164,7 +1164,7 @@
     rig.sink.0.clear();
     (0..9).for_each(|_| rig.policy.peer_reported(rig.now, &mut rig.sink, 1, PeerReport::Unresponsive));
     assert_eq!(rig.sink.0, [Act::Probe(1)]);
-    assert!(!rig.policy.hosts[1].silent);
+    assert!(!rig.policy.hosts[1].is_unresponsive);
 }
 
 #[test]
@@ -1172,15 +1172,15 @@
     // Proof of a tier: hosts three times as big got as many reads as the least, and a cold one beside one warm one less
     // than its part.
     let mut rig = Rig::settled(terms(), 1, 5);
-    (1..5).for_each(|h| rig.policy.hosts[h].size = h as f64);
+    (1..5).for_each(|h| rig.policy.hosts[h].capacity = h as f64);
     let went = read_on(&mut rig, 200, |_| 10.0);
     for host in 1..5 {
         let got = went.iter().filter(|w| **w == host).count();
         assert!(got.abs_diff(20 * host) <= 4, "{host}: {got}");
     }
     let mut rig = Rig::settled(terms(), 1, 5);
-    (rig.policy.fixed.cold_fair, rig.policy.cold) = (1e9, [1e9; 2]);
-    (rig.policy.fixed.cold_ms, rig.policy.hosts[2].started) = (1e9, rig.now);
+    (rig.policy.params.max_cold_load_factor, rig.policy.cold_load_factors) = (1e9, [1e9; 2]);
+    (rig.policy.params.warmup_ms, rig.policy.hosts[2].started_at) = (1e9, rig.now);
     let went = read_on(&mut rig, 160, |_| 100.0);
     let got = went.iter().filter(|w| **w == 2).count();
     // A fifth of a warm one's: one in sixteen.
@@ -1213,7 +1213,7 @@
         rig.policy.list_ended(rig.now, &mut rig.sink);
         rig.refresh(5);
         // The near one is picked until it is full; then the others, which it has been ahead of.
-        rig.policy.hosts[1].turn = 5.0;
+        rig.policy.hosts[1].rotation_position = 5.0;
         let near = rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
         let far = rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
         first[rig.host_of(near).unwrap()] += 1;
@@ -1251,7 +1251,7 @@
     let mut rig = Rig::settled(terms(), 2, 3);
     assert!(!comes_back(&mut rig, 0, 5.0), "at once");
     assert!(comes_back(&mut rig, 0, 200.0), "one that comes at no such time is its client's first");
-    let told = rig.policy.types[ANY].usual;
+    let told = rig.policy.op_types[ANY].usual_ms;
     assert!(!comes_back(&mut rig, 0, told), "when it was told to");
     let unlike = rig.arrive(ANY, 1, 600.0, 0.0);
     assert!(rig.host_of(unlike).is_some(), "in another group nobody was given up");
@@ -1288,12 +1288,12 @@
     let mut cold = 0;
     for seed in 0..routers {
         let mut rig = Rig::settled(PolicyOptions { routers: 300.0, ..terms() }, 1, 8);
-        rig.policy.chance.seed = seed;
+        rig.policy.random.seed = seed;
         let mut list = vec![(HostState::Ready, f64::NEG_INFINITY); 8];
         list[5].1 = rig.now;
         rig.list(&list);
         for m in (1..8).filter(|m| *m != 5) {
-            rig.policy.hosts[m].limit = SHARE_LEAST;
+            rig.policy.hosts[m].in_flight_limit = MIN_SHARE;
         }
         for _ in 0..ops {
             let op = rig.arrive(ANY, 0, PATIENCE, 0.0);
@@ -1317,10 +1317,10 @@
     }
     rig.refresh(8);
     for m in 1..8 {
-        rig.policy.hosts[m].limit = SHARE_LEAST;
+        rig.policy.hosts[m].in_flight_limit = MIN_SHARE;
     }
     let mut at_primary = |spill: f64| {
-        rig.policy.spill = spill;
+        rig.policy.fallback_ratio = spill;
         let mut count = 0;
         for _ in 0..30 {
             let op = rig.arrive(BOUNDED, 0, PATIENCE, 0.0);
@@ -1332,7 +1332,7 @@
         }
         count
     };
-    assert!(at_primary(SPILL_START) > 0);
+    assert!(at_primary(INITIAL_FALLBACK_RATIO) > 0);
     assert_eq!(at_primary(0.0), 0, "more than the share that may spill");
 }
 
@@ -1381,8 +1381,8 @@
     // 7,122 first tries that found no replica fresh were refused beside primaries that were half idle.
     let mut rig = Rig::settled(PolicyOptions { routers: 300.0, ..terms() }, 2, 3);
     let spilt = |rig: &mut Rig| {
-        rig.policy.hosts[1].silent = true;
-        rig.policy.hosts[2].silent = true;
+        rig.policy.hosts[1].is_unresponsive = true;
+        rig.policy.hosts[2].is_unresponsive = true;
         let op = rig.arrive(ANY, 0, PATIENCE, 0.0);
         let at = rig.host_of(op);
         if at.is_some() {
@@ -1430,7 +1430,7 @@
     rig.beats(100.0);
     rig.told(0, Some(Role::Primary), Some(rig.now), true);
     rig.end(tokened, 0, Ending::Reset);
-    rig.beats(PROBE_MS);
+    rig.beats(PROBE_INTERVAL_MS);
     assert!(rig.ops[tokened].sends.len() > 1, "it went again");
     assert_eq!(rig.sink.1, first + WINDOW - 5.0);
     rig.told(1, Some(Role::Replica), Some(rig.now - 40.0), true);
