--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,35 +1,37 @@
-//! magpiewell: the decision core of a read and write splitter. No I/O, no clock, no protocol.
+//! magpiewell: the decision core of a read/write splitter for database clusters. It does no I/O, reads no
+//! clock and speaks no protocol.
 //!
-//! An adapter owns one [`policy::Policy`] per router instance. It calls the policy with what happened and
-//! the time (f64 ms on one clock), and carries out what the policy puts into its [`Outbox`], in order.
-//! Ids reach the core as small numbers: hosts, groups, op types and tenants are indices.
+//! An adapter owns one [`policy::Policy`] per router. It reports each event to the policy together with the
+//! current time (f64 milliseconds on one clock) and carries out the actions that the policy puts into its
+//! [`Outbox`], in order. Hosts, groups, op types and tenants are identified by small indices.
 
 pub mod policy;
 pub mod state;
 
-/// Names one op; chosen by the adapter, never reused while a send of it is out.
+/// Identifies one op. Chosen by the adapter and not reused while a send of the op is outstanding.
 pub type OpId = u64;
 
-/// How recent the data must be that an op sees.
+/// How recent the data seen by an op must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Only the primary takes it.
+    /// A write: only the primary accepts it.
     Write,
-    /// Sees every write committed before the op arrived.
+    /// Sees every write committed before the op arrived; served by the primary.
     Fresh,
-    /// Sees what its own session has written.
+    /// Sees the writes of its own session.
     Session,
-    /// Sees data no older than a bound when it is sent.
+    /// Sees data no older than the staleness bound at the time of the send.
     Bounded,
-    /// Any member may answer.
+    /// Any member of the group may answer.
     Any,
 }
 
-/// Whether an op may run again.
+/// Whether an op may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Retryability {
     Retryable,
-    /// Repeats are dropped for `window_ms`; within the op's group, or anywhere.
+    /// Hosts drop duplicates for `window_ms`, either within the op's group or, with `anywhere`, in all
+    /// groups.
     Tokened {
         window_ms: f64,
         anywhere: bool,
@@ -37,7 +39,7 @@
     NonRetryable,
 }
 
-/// What is fixed about an op type.
+/// The fixed properties of an op type.
 #[derive(Clone, Debug)]
 pub struct OpTypeSpec {
     pub consistency: Consistency,
@@ -49,45 +51,53 @@
     pub late_value: f64,
 }
 
-/// What a deployment allows and asks; the policy derives its figures from it and drops it.
+/// What a deployment permits, requires and charges for. The policy derives its parameters from it at start.
 #[derive(Clone, Debug)]
 pub struct PolicyOptions {
+    /// Number of routers that share the hosts.
     pub routers: f64,
-    /// Zones that routers are in, and the number of this one's own; any other where it is not known.
+    /// Number of zones that have routers.
     pub zone_count: usize,
+    /// Index of this router's zone; any other number where it is unknown.
     pub zone: usize,
     pub tick_ms: f64,
     pub op_types: Vec<OpTypeSpec>,
-    /// Ops a second within each tenant's share, over all routers.
+    /// Ops per second within each tenant's share, over all routers.
     pub tenant_rates: Vec<f64>,
+    /// Factor on the value of an op beyond its tenant's share.
     pub over_share_value: f64,
     pub max_sends: usize,
+    /// Whether a retryable op may have a second send outstanding.
     pub may_hedge: bool,
     pub may_withdraw: bool,
     pub may_probe: bool,
-    /// What the deployment charges for a probe, a new connection and a send to another zone; only which is more
-    /// matters.
+    /// What the deployment charges for a probe, a new connection and a send to another zone. Only the order
+    /// of the three prices matters.
     pub probe_price: f64,
     pub connection_price: f64,
     pub cross_zone_price: f64,
-    /// Longest wait that a busy reply may name; 0 where clients are not told.
+    /// Longest wait that a busy reply may name; 0 where clients are given no time.
     pub max_retry_after_ms: f64,
     pub drain_grace_ms: f64,
-    /// False where a host that is gone without having drained may still be sent ops.
+    /// False where a host listed as gone without having drained may still be sent ops.
     pub gone_is_binding: bool,
-    /// The list answers only when asked, and how often it must be.
+    /// How often the host list must be requested; `None` where the list service pushes changes.
     pub list_poll_interval_ms: Option<f64>,
+    /// Smallest share of its full capacity that a host has right after its start.
     pub cold_capacity_share: f64,
+    /// Time from a host's start until it has its full capacity.
     pub warmup_ms: f64,
+    /// A cold host fails when the work sent to it within `overload_window_ms` exceeds this multiple of what
+    /// it can do in that time.
     pub overload_multiple: f64,
     pub overload_window_ms: f64,
-    /// Replicas turn away reads for which they are too far behind.
+    /// Replicas reject reads for which they are too far behind.
     pub hosts_reject_stale_reads: bool,
-    /// Session reads must see the writes whose answers passed through here.
+    /// Session reads must see the writes whose answers passed through this router.
     pub track_session_writes: bool,
 }
 
-/// What the list says of a host.
+/// The state of a host according to the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
     Ready,
@@ -95,19 +105,21 @@
     Gone,
 }
 
-/// What the list says of one host. Sizes are against other hosts; `started` is when it last did, -inf for long ago.
+/// One host's entry in the host list.
 #[derive(Clone, Copy, Debug)]
 pub struct HostEntry {
     pub group: usize,
     pub state: HostState,
+    /// Capacity relative to other hosts.
     pub capacity: f64,
+    /// When the host last started; -inf for long ago.
     pub started_at: f64,
     pub primary: bool,
-    /// The number of its zone, as the terms number them; any other where it is not known.
+    /// Index of the host's zone, numbered as in [`PolicyOptions`]; any other number where it is unknown.
     pub zone: usize,
 }
 
-/// An op that a client has sent: times in ms.
+/// An op that a client has sent.
 #[derive(Clone, Copy, Debug)]
 pub struct OpRequest {
     pub id: OpId,
@@ -115,95 +127,98 @@
     pub group: usize,
     pub tenant: usize,
     pub session: u64,
-    /// How long the client waits.
+    /// How long the client waits for this try.
     pub client_timeout_ms: f64,
-    /// How long ago its session last wrote, where ops tell that.
+    /// Time since the last write of the op's session, where ops carry it.
     pub since_write_ms: Option<f64>,
-    /// Whether it is a repeat, where clients mark those.
+    /// Whether the op is a retry, where clients mark retries.
     pub is_retry: Option<bool>,
-    /// What its own work adds to its latency target.
+    /// What the op's own work adds to its latency target.
     pub extra_latency_ms: f64,
-    /// What its op type's clients wait in all.
+    /// How long clients wait for an op of this type over all its tries.
     pub op_timeout_ms: f64,
 }
 
-/// A host's part in its group.
+/// A host's role in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Primary,
     Replica,
 }
 
-/// How a send ended.
+/// How a send or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Acked,
     Errored,
-    /// What came can't be read: it may have run, and the answer tells nothing.
+    /// The response can't be parsed. The op may have run, and the response says nothing about the host's
+    /// role.
     Spoilt,
-    /// Turned away unseen: full or draining.
+    /// The host refused the op without looking at it: it is full or draining.
     Full,
     TimedOut,
-    /// No connection came about.
+    /// No connection was established.
     Unreached,
     /// The connection broke.
     Reset,
     Withdrawn,
     /// Never left the router.
     Unsent,
-    /// Turned away untouched: not the primary, or too far behind.
+    /// The host rejected the op without running it: it isn't the primary, or is too far behind.
     Missed,
 }
 
 impl Ending {
-    /// True where the ending proves that nothing ran.
+    /// True where the ending proves that the op did not run.
     pub fn cannot_have_run(self) -> bool {
         matches!(self, Ending::Full | Ending::Unreached | Ending::Unsent | Ending::Missed)
     }
 
-    /// True where contact with the host came about in no way.
+    /// True where the host could not be reached or did not respond.
     pub fn is_contact_failure(self) -> bool {
         matches!(self, Ending::TimedOut | Ending::Unreached | Ending::Reset)
     }
 
-    /// True where the host itself spoke.
+    /// True where the host itself responded.
     pub fn is_from_host(self) -> bool {
         matches!(self, Ending::Acked | Ending::Errored | Ending::Spoilt | Ending::Full | Ending::Missed)
     }
 }
 
-/// What other routers of the tier say of a host, and when it was so.
+/// What other routers of the tier report about a host, with the time of the observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PeerReport {
-    /// It showed itself to be its group's primary.
+    /// The host has shown itself to be its group's primary.
     Primary { at: f64 },
-    /// It was so far behind its log, in ms.
+    /// The host was this far behind the primary's log.
     ReplicaLag { lag_ms: f64, at: f64 },
-    /// Several had no answer from it.
+    /// Several routers got no response from the host.
     Unresponsive,
 }
 
-/// Takes the policy's actions, which take effect in the order given.
+/// Receives the policy's actions, which take effect in the order given.
 pub trait Outbox {
-    /// Sends the op; sends of an op are numbered from 0 in this order.
-    /// `begin_by`: what begins to leave no sooner must not leave at all, and ends as unsent.
+    /// Sends the op; the sends of an op are numbered from 0 in this order. A send that has not started to
+    /// leave by `begin_by` must not leave at all, and ends as unsent.
     fn send(&mut self, op: OpId, host: usize, begin_by: f64);
-    /// Calls a send back: what has not left whole never does. `cut`: what has is broken off too, else it goes on.
+    /// Withdraws a send: if it has not left completely, it never does. With `abort`, one that has left is
+    /// broken off too; without, it continues.
     fn withdraw(&mut self, op: OpId, send: usize, abort: bool);
-    /// Sends to this host that have not begun to leave end as unsent.
+    /// Cancels the sends to this host that have not started to leave; they end as unsent.
     fn cancel_unstarted(&mut self, _host: usize) {}
-    /// Final: trying again is harmless; `retry_ms` 0 names no time.
+    /// A final answer that promises that a retry is harmless. `retry_ms` is the time after which to retry; 0
+    /// names none.
     fn busy_reply(&mut self, op: OpId, retry_ms: f64);
-    /// Final: promises nothing.
+    /// A final answer that promises nothing.
     fn error_reply(&mut self, op: OpId);
     fn probe(&mut self, host: usize);
     /// Closes this router's idle connections to the host.
     fn close_idle_connections(&mut self, host: usize);
-    /// Asks the list for what changed and for changes from now on.
+    /// Requests the changes of the host list since the last response, and a watch for further ones.
     fn watch_host_list(&mut self);
-    /// Asks for one call of `woken` after so many ms.
+    /// Requests one call of [`policy::Policy::tick`] after this many milliseconds.
     fn wake_after(&mut self, in_ms: f64);
     fn log(&mut self, line: &str);
-    /// Contact with the host was lost; others may want to know.
+    /// Contact with the host was lost; peers may want to know.
     fn contact_lost(&mut self, _host: usize) {}
 }
