--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,24 +1,50 @@
-//! All decisions of magpiewell. The interface (ids, facts, `Outbox`) stands in lib.rs, shapes in state.rs.
+//! Routing decisions: which host an op is sent to, and when it is held, retried, withdrawn or refused.
 //!
-//! One `Policy` serves one router. The adapter calls `op_arrived`, `ended`, `told`, `probed`, `listed`, ...
-//! with what happened, and `woken` on every beat. An op runs down `STAGES`; each stage passes it on, keeps it
-//! in its group's held ops or ends it. What comes back from a host runs the chain upwards.
+//! The interface of the crate (ids, events, [`Outbox`]) is defined in lib.rs; the records kept per host,
+//! group and op, with their bookkeeping, are in state.rs. One [`Policy`] serves one router. It does no I/O:
+//! the adapter calls a method for each event (`op_arrived`, `send_ended`, `probe_ended`, `host_reported`,
+//! `host_listed`, ...) and [`Policy::tick`] at every tick, and carries out the actions put into the
+//! [`Outbox`].
 //!
-//! The design: writes and fresh reads go to the probed, cached primary; other reads rotate over replicas
-//! known to be fresh enough; one whose latency average exceeds RHO times the median leaves the rotation.
+//! # Path of an op
 //!
-//! Mechanisms beside it, at most six:
-//! 1. scout: while no primary is known, one write a group looks for it and the others are held
-//! 2. silence: failed contact sets a host aside before the list does, sends it overtook are lost; ops move on
-//! 3. proof: who is ejected gets single reads until it is no outlier any more; a group's median is
-//!    held against the fleet's, so that a lifted one shows
-//! 4. connections: a probe tells why one failed; kept if slow to open, closed if few are taken, few if dear
-//! 5. pace: work in flight on a host, the shares let through to an idle one and to a group's and the shares of
-//!    reads that spill onto a primary or leave the router's zone follow what comes back in time; ops are held
-//!    briefly, then shed, and so is the part that the router's own processor time can't carry; repeats are
-//!    dated by when they come back or by their patience, and not sent past their first try's target
-//! 6. cold share: a host that came back gets no more than its least possible capacity allows, of ops whose turn
-//!    it is; where the part of one router is under an op, chance lets through what all together may send
+//! An op passes through `STAGES` in order. Each stage lets it continue, holds it in its group or rejects it
+//! with a final answer; an op that passes all of them is sent. When a send ends, its result passes through
+//! the same stages in reverse order, and each updates the statistics that it decides by. Held ops are retried
+//! whenever an event may have made room for them, and at every tick.
+//!
+//! 1. `admit` / `learn_send_time`: rejects ops that can no longer be answered in time or may not be sent
+//!    again, and those beyond the share that the router itself has processor time for.
+//! 2. `route_to_primary` / `update_primary`: sends writes and fresh reads to the cached primary.
+//! 3. `route_to_replica` / `update_latency`: rotates other reads over the replicas that are fresh enough.
+//! 4. `limit_in_flight` / `update_limits`: limits the work in flight per host; sheds what has waited too
+//!    long.
+//! 5. `enforce_rules` / `record_commit`: checks the rules that no send may break, whatever was decided
+//!    before.
+//!
+//! # Design
+//!
+//! Writes and fresh reads go to the cached primary, which responses and probes confirm. Other reads rotate
+//! over the replicas known to be fresh enough. A host whose average latency exceeds OUTLIER_FACTOR times the
+//! median is ejected from the rotation. Six mechanisms support this:
+//!
+//! 1. Primary discovery: while no primary is known, one write per group is sent to find it; the others are
+//!    held.
+//! 2. Failure detection: a host with which contact fails is set aside without waiting for the host list. A
+//!    send that was overtaken by later ones counts as lost. The ops concerned move to other hosts.
+//! 3. Outlier ejection: an ejected host gets single trial reads until it is no outlier any more. A group's
+//!    median is capped by that of the fleet, so that several slow members can't hide each other.
+//! 4. Connections: a probe shows whether a failed connection was the host's failure or the connection's.
+//!    While connections are slow to open, they are kept; while hosts accept few, idle ones are closed; where
+//!    they are charged for, only a few replicas per group get them.
+//! 5. Load control: the in-flight limit of a host, the shares of ops admitted to an idle host and to a
+//!    group's idle replicas, and the shares of reads that fall back to a primary or leave the router's zone
+//!    all follow how many answers arrive in time. Ops that find no room are held briefly and then shed, as is
+//!    the share that exceeds the router's own processor time. Retries are dated by their time of arrival or
+//!    by their client timeout, and are not sent after the latency target of their first try.
+//! 6. Cold budget: a host that warms up gets no more work than the smallest capacity it can have by then, and
+//!    only ops for which it is next in the rotation. Where one router's share of that is less than one op,
+//!    ops are admitted at random, so that all routers together keep within the budget.
 
 use crate::state::{
     self, Demand, Group, Host, InFlightSend, Op, OpTable, OpType, PolicyParams, Random, Rate, RecentEvent,
@@ -30,80 +56,97 @@
     PolicyOptions, Retryability, Role,
 };
 
-/// Outlier factor of the design.
+/// A host is ejected when its latency exceeds this multiple of the median.
 const OUTLIER_FACTOR: f64 = 2.0;
-/// Weight of one read in a host's latency average, and of a trial read.
+/// Smoothing factors of a host's latency average, for regular reads and for trial reads of an ejected host.
 const LATENCY_SMOOTHING: f64 = 0.05;
 const TRIAL_SMOOTHING: f64 = 0.35;
-/// Reads before an average counts.
+/// Reads from which a latency average is used.
 const MIN_LATENCY_SAMPLES: u32 = 20;
-/// A host is probed at most this often, and only if an op needs what a probe tells.
+/// Shortest interval between probes of a host; a host is probed only when an op needs the result.
 const PROBE_INTERVAL_MS: f64 = 250.0;
-/// Hosts that one read asks for their position where none is known to be fresh enough; and, where connections
-/// are charged for, replicas of a group that have some before others get any.
+/// Number of hosts that one read has probed where none is known to be fresh enough. Where connections are
+/// charged for, also the number of replicas of a group that have connections before others get any.
 const HOST_SUBSET_SIZE: usize = 2;
-/// The usual latency of an op type starts as this part of its target and is learned with this weight.
+/// The usual latency of an op type starts as this share of its target and is learned with this smoothing
+/// factor.
 const INITIAL_LATENCY_SHARE: f64 = 0.2;
 const USUAL_LATENCY_SMOOTHING: f64 = 0.02;
-/// A send later than this multiple of its usual latency counts as lost if others were heard since.
+/// A send that exceeds this multiple of its usual latency counts as lost if its host has responded to others
+/// since.
 const LOST_SEND_FACTOR: f64 = 4.0;
-/// Ops in flight that a host starts with, over all routers, and the least that a limit in flight can be.
+/// Initial in-flight limit of a host, over all routers, and the floor of a limit for more than one op in
+/// flight.
 const INITIAL_LIMIT: f64 = 16.0;
 const MIN_LIMIT: f64 = 1.0;
-/// Answers past this part of their target, on average, cut a limit; it is measured anew from this strain.
+/// Average latency above this share of the latency target is congestion (above 1) and cuts the in-flight
+/// limit. After a cut, the congestion average restarts at `CONGESTION_AFTER_CUT`.
 const CONGESTED_TARGET_SHARE: f64 = 0.33;
 const CONGESTION_AFTER_CUT: f64 = 0.75;
 const LIMIT_CUT: f64 = 0.85;
 const CONGESTION_SMOOTHING: f64 = 0.1;
-/// Reads stay in their zone until its replicas would do so much of their part of the group's work, and but for the
-/// part by which one is strained beyond one less than this; of what comes by, a strained one keeps at least so much.
+/// Reads stay in the router's zone until its replicas would do this multiple of their proportional share of
+/// the group's work.
 const LOCAL_ZONE_MAX_LOAD: f64 = 1.5;
+/// A replica in the zone chosen for a read takes it with a probability of this value less its congestion, and
+/// of at least `LOCAL_ZONE_MIN_SHARE`.
 const LOCAL_ZONE_MAX_CONGESTION: f64 = 2.0;
 const LOCAL_ZONE_MIN_SHARE: f64 = 0.25;
-/// Reads that fall back to a primary may at first, and at most, add this part to the work that must go there.
+/// Work of reads that fall back to a primary, as a ratio of the work that must go there: initially, and at
+/// most.
 const INITIAL_FALLBACK_RATIO: f64 = 0.5;
 const MAX_FALLBACK_RATIO: f64 = 4.0;
-/// More than one replica takes long reads while this part of all lags by less than that part of any bound.
+/// Long reads may go to more than one replica while at least this share of the replicas is caught up, which
+/// means a lag below `CAUGHT_UP_BOUND_SHARE` of the tightest staleness bound.
 const MIN_CAUGHT_UP_SHARE: f64 = 0.5;
 const CAUGHT_UP_BOUND_SHARE: f64 = 0.3;
-/// More replicas take long reads after each late one, fewer after each other: in balance a tenth is late.
+/// Factors on the number of replicas that take long reads, after a late one and after one in time. They
+/// balance where a tenth of the long reads is late.
 const LONG_READ_WIDEN: f64 = 1.5;
 const LONG_READ_NARROW: f64 = 0.95;
-/// An answer past this part of its target is late: it cuts what may spill, and the share let through to the
-/// host if it is idle; any other raises them, and a second's time the share, which has a least. What a group's
-/// replicas let through together is cut more gently, as it is told more often.
+/// An answer after this share of its latency target is late.
 const LATE_TARGET_SHARE: f64 = 0.7;
+/// A late answer multiplies the fallback ratio, and the share of ops admitted to an idle host, by
+/// `SHARE_CUT`; any other by `SHARE_RISE`. The share admitted to a group's idle replicas is cut less, as more
+/// answers update it.
 const SHARE_CUT: f64 = 0.5;
 const GROUP_SHARE_CUT: f64 = 0.7;
 const SHARE_RISE: f64 = 1.25;
+/// Factor per second on the share of ops admitted to an idle host, so that it recovers without answers.
 const IDLE_SHARE_RECOVERY: f64 = 1.1;
 const MIN_SHARE: f64 = 0.1;
-/// How long what was seen of a group's work, or of connections, counts; and of what comes here in all.
+/// Time constant of the work averages, and how long findings about connections and records of gone hosts are
+/// kept.
 const RETENTION_MS: f64 = 10_000.0;
+/// Time constant of the averages of the total demand on this router.
 const DEMAND_WINDOW_MS: f64 = 3000.0;
-/// Part of the spare time (target less usual latency) for which an op waits for room.
+/// Share of the spare time (latency target less usual latency) for which an op is held when no host has room.
 const HOLD_SHARE: f64 = 0.4;
-/// Votes by which the commonest patience must lead to be trusted.
+/// Lead in votes from which the most frequent client timeout is trusted.
 const MIN_TIMEOUT_VOTES: i32 = 8;
-/// Patience within this part of the op timeout counts as the same.
+/// Client timeouts that differ by less than this share of the op timeout count as equal.
 const TIMEOUT_TOLERANCE: f64 = 0.005;
-/// Weight from which an op type counts as long.
+/// Relative weight above which an op type counts as long.
 const LONG_OP_WEIGHT: f64 = 2.5;
-/// A connection that failed after this long was slow to open; before it, refused.
+/// A connection attempt that failed after more than this was slow; a faster failure was a refusal.
 const SLOW_CONNECT_MS: f64 = 50.0;
-/// Part of the cold budget that is used, and that chance uses, as more than a host can do is seldom served in
-/// time; it decides up to so many ops a window.
+/// Shares of the overload multiple used by the cold budget and by random admission. They are below 1, as work
+/// beyond the capacity of a host is seldom served in time.
 const COLD_BUDGET_SHARE: f64 = 0.9;
 const COLD_DRAW_SHARE: f64 = 0.6;
+/// Random admission to a cold host applies up to this many ops per overload window.
 const THIN_DEMAND_OPS: f64 = 4.0;
-/// Rates are noted this often, a failed list is asked again after about it, and contact lost for longer means
-/// a restart, so that the host comes back cold.
+/// One second: the interval at which rates are updated, and roughly the delay after which a failed list
+/// request is retried. Loss of contact for longer is taken for a restart, after which the host is cold.
 const SECOND_MS: f64 = 1000.0;
-/// Probes of a host that is down or far behind move apart up to this.
+/// Longest interval between probes of a host that is down or far behind.
 const MAX_PROBE_INTERVAL_MS: f64 = 4000.0;
 
+/// Decides about an op on its way to a host.
 type ForwardStage = fn(&mut Policy, &mut SendAttempt) -> StageOutcome;
+/// Updates the statistics of a stage from the result of a send.
 type ResultStage = fn(&mut Policy, &SendResult);
+/// The stages in the order in which an op passes through them; results pass in reverse order.
 const STAGES: [(ForwardStage, ResultStage); 5] = [
     (Policy::admit, Policy::learn_send_time),
     (Policy::route_to_primary, Policy::update_primary),
@@ -112,239 +155,257 @@
     (Policy::enforce_rules, Policy::record_commit),
 ];
 
+/// The routing policy of one router; see the module documentation.
 #[derive(Default)]
 pub struct Policy {
-    /// What was derived from the terms at start, and the part of reads that each zone's routers bring.
     params: PolicyParams,
+    /// Share of all reads that each zone's routers offer.
     pub zone_read_shares: Vec<f64>,
     op_types: Vec<OpType>,
     tenant_shares: Vec<TenantShare>,
     hosts: Vec<Host>,
     groups: Vec<Group>,
-    /// Replicas of each group that take long reads.
+    /// Number of replicas per group that take long reads.
     long_read_replicas: f64,
-    /// Work that reads may add to a primary, as a part of what must go there.
+    /// Work that reads may add to a primary, as a ratio of the work that must go there.
     fallback_ratio: f64,
-    /// Share of ops that the router itself can carry, and the time to come back that others are told.
+    /// The share of ops that the router has processor time for, and the time in ms after which refused
+    /// clients are asked to retry.
     admission: (f64, f64),
     ops: OpTable,
     session_commits: SessionCommits,
     retry_matcher: RetryMatcher,
     random: Random,
-    /// The clock as last told, and until when connections are taken to be slow to open or few.
+    /// Time of the last tick or ended send.
     now: f64,
+    /// Until when connections are taken to be slow to open, and until when hosts are taken to accept few.
     slow_connect_until: f64,
     scarce_connections_until: f64,
+    /// Connections that failed fast at hosts that then answered a probe.
     connection_refused: RecentEvent,
     rates_updated_at: f64,
-    /// Work that warm hosts of size 1 do for this router, as replicas and as primaries, and what it is asked.
+    /// Work that warm hosts of capacity 1 do for this router, as [replicas, primaries].
     warm_rates: [Rate; 2],
     demand: Demand,
-    /// What cold hosts are sent, against what they should be able to do, as it fares.
+    /// Limits of random admission to cold hosts, as multiples of their present capacity, for [replicas,
+    /// primaries]. They follow how many answers of cold hosts are late.
     cold_load_factors: [f64; 2],
     poll_list_at: f64,
-    /// An answer, a probe or a list has come since averages were last compared.
+    /// A send, a probe or a list has ended since hosts were last checked for outliers.
     is_outlier_check_due: bool,
+    /// The list response being read names all hosts, not only changes.
     is_list_full: bool,
     list_revision: u64,
 }
 
 impl Policy {
-    pub fn new(terms: PolicyOptions, seed: u64, now: f64, out: &mut dyn Outbox) -> Policy {
-        let beat = terms.tick_ms.max(5.0);
-        let share = |rate: &f64| TenantShare {
-            ops_per_ms: rate / terms.routers / 1000.0,
+    pub fn new(options: PolicyOptions, seed: u64, now: f64, outbox: &mut dyn Outbox) -> Policy {
+        let tick_ms = options.tick_ms.max(5.0);
+        let tenant_share = |rate: &f64| TenantShare {
+            ops_per_ms: rate / options.routers / 1000.0,
             tokens: 1.0,
             refilled_at: now,
         };
-        let shares = terms.tenant_rates.iter().map(share).collect();
-        let typed =
-            |facts: OpTypeSpec| OpType::new(facts.latency_target_ms * INITIAL_LATENCY_SHARE, now, facts);
-        let bounded = |t: &&OpTypeSpec| t.consistency == Consistency::Bounded;
-        let fixed = PolicyParams {
-            tick_ms: beat,
-            reply_margin_ms: 2.0 * beat,
-            preferred_connected_replicas: if terms.connection_price > terms.cross_zone_price {
+        let tenant_shares = options.tenant_rates.iter().map(tenant_share).collect();
+        let op_type =
+            |spec: OpTypeSpec| OpType::new(spec.latency_target_ms * INITIAL_LATENCY_SHARE, now, spec);
+        let is_bounded = |t: &&OpTypeSpec| t.consistency == Consistency::Bounded;
+        let params = PolicyParams {
+            tick_ms,
+            reply_margin_ms: 2.0 * tick_ms,
+            preferred_connected_replicas: if options.connection_price > options.cross_zone_price {
                 HOST_SUBSET_SIZE
             } else {
                 usize::MAX
             },
-            trial_reads_replace_probes: terms.hosts_reject_stale_reads
-                && terms.probe_price > terms.cross_zone_price,
-            cold_budget_multiple: terms.overload_multiple * COLD_BUDGET_SHARE,
-            max_cold_load_factor: terms.overload_multiple * COLD_DRAW_SHARE,
-            quota_ops_per_ms: terms.tenant_rates.iter().sum::<f64>() / terms.routers / 1000.0,
-            initial_limit: (INITIAL_LIMIT / terms.routers).max(MIN_LIMIT),
-            min_staleness_bound_ms: terms
+            trial_reads_replace_probes: options.hosts_reject_stale_reads
+                && options.probe_price > options.cross_zone_price,
+            cold_budget_multiple: options.overload_multiple * COLD_BUDGET_SHARE,
+            max_cold_load_factor: options.overload_multiple * COLD_DRAW_SHARE,
+            quota_ops_per_ms: options.tenant_rates.iter().sum::<f64>() / options.routers / 1000.0,
+            initial_limit: (INITIAL_LIMIT / options.routers).max(MIN_LIMIT),
+            min_staleness_bound_ms: options
                 .op_types
                 .iter()
-                .filter(bounded)
+                .filter(is_bounded)
                 .map(|t| t.staleness_bound_ms)
                 .fold(f64::INFINITY, f64::min),
-            ..PolicyParams::from(&terms)
+            ..PolicyParams::from(&options)
         };
-        let brings = vec![1.0 / fixed.zone_count.max(1) as f64; fixed.zone_count.max(1)];
-        let (types, chance) = (terms.op_types.into_iter().map(typed).collect(), Random { seed, count: 0 });
-        let start = Policy {
+        let zone_read_shares = vec![1.0 / params.zone_count.max(1) as f64; params.zone_count.max(1)];
+        let (op_types, random) =
+            (options.op_types.into_iter().map(op_type).collect(), Random { seed, count: 0 });
+        let initial = Policy {
             rates_updated_at: now,
             poll_list_at: f64::INFINITY,
             fallback_ratio: INITIAL_FALLBACK_RATIO,
             ..Policy::default()
         };
-        let start = Policy {
+        let initial = Policy {
             admission: (1.0, 0.0),
-            cold_load_factors: [fixed.max_cold_load_factor; 2],
+            cold_load_factors: [params.max_cold_load_factor; 2],
             long_read_replicas: 1.0,
-            ..start
+            ..initial
         };
-        let mut policy = Policy {
-            params: fixed,
-            op_types: types,
-            tenant_shares: shares,
-            random: chance,
-            zone_read_shares: brings,
-            ..start
-        };
-        policy.poll_list(now, out);
-        out.wake_after(policy.params.tick_ms);
+        let mut policy = Policy { params, op_types, tenant_shares, random, zone_read_shares, ..initial };
+        policy.poll_list(now, outbox);
+        outbox.wake_after(policy.params.tick_ms);
         policy
     }
 
-    /// The share of new ops that the router's own time carries, and in about how many ms the others may come back.
-    pub fn set_admission(&mut self, share: f64, come_back: f64) {
-        self.admission = (share, come_back);
+    /// Sets the share of new ops that the router has processor time for, and the approximate time after which
+    /// the other clients may retry.
+    pub fn set_admission(&mut self, share: f64, retry_after_ms: f64) {
+        self.admission = (share, retry_after_ms);
     }
 
-    fn poll_list(&mut self, now: f64, out: &mut dyn Outbox) {
-        if let Some(every) = self.params.list_poll_interval_ms {
-            out.watch_host_list();
-            self.poll_list_at = now + every * 0.5;
+    fn poll_list(&mut self, now: f64, outbox: &mut dyn Outbox) {
+        if let Some(interval_ms) = self.params.list_poll_interval_ms {
+            outbox.watch_host_list();
+            self.poll_list_at = now + interval_ms * 0.5;
         }
     }
 
-    /// A list begins: whole or changes, as kept or from the service; `listed` calls follow, then `list_end`.
-    pub fn list_started(&mut self, whole: bool, kept: bool) {
-        self.poll_list_at = if kept { self.poll_list_at } else { f64::INFINITY };
-        (self.is_list_full, self.list_revision) = (whole, self.list_revision + 1);
+    /// Starts a list response: a full list or changes, from the cache or from the list service. It is
+    /// followed by calls of `host_listed` and one of `list_ended`.
+    pub fn list_started(&mut self, is_full: bool, is_cached: bool) {
+        self.poll_list_at = if is_cached { self.poll_list_at } else { f64::INFINITY };
+        (self.is_list_full, self.list_revision) = (is_full, self.list_revision + 1);
     }
 
+    /// Takes over the list entry of one host.
     pub fn host_listed(&mut self, now: f64, host: usize, entry: HostEntry) {
-        let HostEntry { group, state: phase, capacity: size, started_at: started, primary, zone } = entry;
+        let HostEntry { group, state, capacity, started_at, primary, zone } = entry;
         while self.hosts.len() <= host {
-            // By chance, or all routers that start together begin with the same replica and move on together.
-            let turn = self.random.next_f64() / if size > 0.0 { size } else { 1.0 };
-            self.hosts
-                .push(Host { rotation_position: turn, ..Host::new(usize::MAX, self.params.initial_limit) });
+            // Random, as routers that start together would otherwise use the same replicas in lockstep.
+            let rotation_position = self.random.next_f64() / if capacity > 0.0 { capacity } else { 1.0 };
+            self.hosts.push(Host { rotation_position, ..Host::new(usize::MAX, self.params.initial_limit) });
         }
         state::assign_group(&mut self.groups, &mut self.hosts[host], host, group);
         let h = &mut self.hosts[host];
         (h.list_revision, h.zone) = (self.list_revision, zone);
-        h.capacity = if size.is_finite() && size > 0.0 { size } else { h.capacity };
-        h.record_start(started, self.params.initial_limit);
-        // Where gone alone does not bind, it proves nothing either: contact tells what is up.
-        let alive = phase == HostState::Gone && !self.params.gone_is_binding && !h.has_drained;
-        let phase = if alive { HostState::Ready } else { phase };
-        h.unready_since = if phase == HostState::Ready { f64::INFINITY } else { h.unready_since.min(now) };
-        h.state = phase;
-        h.has_drained = phase == HostState::Draining || (h.has_drained && phase == HostState::Gone);
+        h.capacity = if capacity.is_finite() && capacity > 0.0 { capacity } else { h.capacity };
+        h.record_start(started_at, self.params.initial_limit);
+        // Where "gone" is not binding it proves nothing either: contact shows whether the host is up.
+        let is_assumed_ready = state == HostState::Gone && !self.params.gone_is_binding && !h.has_drained;
+        let state = if is_assumed_ready { HostState::Ready } else { state };
+        h.unready_since = if state == HostState::Ready { f64::INFINITY } else { h.unready_since.min(now) };
+        h.state = state;
+        h.has_drained = state == HostState::Draining || (h.has_drained && state == HostState::Gone);
         h.is_listed_primary = primary;
         h.is_freshness_exempt |= primary && h.replica_seen_at == f64::NEG_INFINITY;
     }
 
-    pub fn list_ended(&mut self, now: f64, out: &mut dyn Outbox) {
+    /// Ends a list response. After a full list, hosts that it does not name are gone.
+    pub fn list_ended(&mut self, now: f64, outbox: &mut dyn Outbox) {
         self.is_outlier_check_due = true;
-        let missing = |h: &&mut Host| self.is_list_full && h.list_revision != self.list_revision;
+        let is_unlisted = |h: &&mut Host| self.is_list_full && h.list_revision != self.list_revision;
         for h in
-            self.hosts.iter_mut().filter(missing).filter(|h| self.params.gone_is_binding || h.has_drained)
+            self.hosts.iter_mut().filter(is_unlisted).filter(|h| self.params.gone_is_binding || h.has_drained)
         {
             (h.state, h.unready_since) = (HostState::Gone, h.unready_since.min(now));
         }
-        // A connection may open only after the grace.
-        let leaving =
+        // A connection that is still opening may be ready only after the drain grace.
+        let has_sends_while_leaving =
             |m: &usize| self.hosts[*m].state != HostState::Ready && !self.hosts[*m].in_flight.is_empty();
-        (0..self.hosts.len()).filter(leaving).for_each(|m| out.cancel_unstarted(m));
+        (0..self.hosts.len()).filter(has_sends_while_leaving).for_each(|m| outbox.cancel_unstarted(m));
         for group in 0..self.groups.len() {
-            self.retry_held(now, out, group, false);
+            self.retry_held(now, outbox, group, false);
         }
     }
 
-    /// True where a host has long been gone and nothing names it: its number may then be given to another.
+    /// Releases the record of a host that has long been gone. True where the host's index may be reused.
     pub fn release_host(&mut self, now: f64, host: usize) -> bool {
-        let (h, limit) = (&self.hosts[host], self.params.initial_limit);
-        let over = now - h.unready_since > RETENTION_MS && state::is_host_releasable(&self.ops, h, host);
-        over && state::reset_host(&mut self.groups, &mut self.hosts, host, limit)
+        let (h, initial_limit) = (&self.hosts[host], self.params.initial_limit);
+        let is_releasable =
+            now - h.unready_since > RETENTION_MS && state::is_host_releasable(&self.ops, h, host);
+        is_releasable && state::reset_host(&mut self.groups, &mut self.hosts, host, initial_limit)
     }
 
-    /// A call failed or the watch broke, which one is not said: ask again soon, not all routers at once.
+    /// The list request failed or the watch broke. Requests the list again after about a second, with jitter,
+    /// so that routers do not retry in lockstep.
     pub fn list_failed(&mut self, now: f64) {
         self.poll_list_at = now + SECOND_MS * (0.5 + self.random.next_f64());
     }
 
-    /// A host's role and position, from an answer (as of now) or from a report (some time old).
+    /// Takes over a host's role and position, from a response (current) or from a report (some time old).
     pub fn host_reported(
         &mut self,
         now: f64,
         host: usize,
         role: Option<Role>,
-        pos: Option<f64>,
-        answer: bool,
+        position: Option<f64>,
+        is_response: bool,
     ) {
         let Some(h) = self.hosts.get_mut(host) else { return };
-        let pos = pos.filter(|p| p.is_finite() && *p <= now);
-        if let Some(p) = pos.filter(|p| *p >= h.position) {
+        let position = position.filter(|p| p.is_finite() && *p <= now);
+        if let Some(p) = position.filter(|p| *p >= h.position) {
             (h.position, h.position_at) = (p, now);
         }
-        // An answer is of now (its rounded position made quick errors clear the primary). A report is dated
-        // by its position: an old one cannot bring back what a write has since found wanting.
-        let at = if answer { now } else { pos.unwrap_or(f64::NEG_INFINITY) };
-        if role == Some(Role::Primary) && at > h.primary_cleared_at.max(h.primary_seen_at) {
-            (h.primary_seen_at, h.is_freshness_exempt) = (at, true);
-        } else if role == Some(Role::Replica) && (answer || at >= h.primary_seen_at) {
-            h.clear_primary(if answer { now } else { h.primary_cleared_at });
+        // A response is dated by its arrival: dated by its position, which is rounded down, a fast error
+        // would clear the primary that sent it. A report is dated by its position, so that an old one cannot
+        // restore a primary that a write has disproved since.
+        let observed_at = if is_response { now } else { position.unwrap_or(f64::NEG_INFINITY) };
+        if role == Some(Role::Primary) && observed_at > h.primary_cleared_at.max(h.primary_seen_at) {
+            (h.primary_seen_at, h.is_freshness_exempt) = (observed_at, true);
+        } else if role == Some(Role::Replica) && (is_response || observed_at >= h.primary_seen_at) {
+            h.clear_primary(if is_response { now } else { h.primary_cleared_at });
             h.replica_seen_at = now;
-            h.is_freshness_exempt &= !answer;
+            h.is_freshness_exempt &= !is_response;
         }
     }
 
-    pub fn probe_ended(&mut self, now: f64, out: &mut dyn Outbox, host: usize, ending: Ending, spent: f64) {
+    /// A probe has ended after `elapsed_ms`.
+    pub fn probe_ended(
+        &mut self,
+        now: f64,
+        outbox: &mut dyn Outbox,
+        host: usize,
+        ending: Ending,
+        elapsed_ms: f64,
+    ) {
         let Some(h) = self.hosts.get_mut(host) else { return };
         (h.is_probe_in_flight, self.is_outlier_check_due) = (false, true);
         let group = h.group;
         if ending == Ending::Acked {
-            // The host is up, so what failed before was its connections.
+            // The host is up, so an earlier failure was one of its connections.
             match std::mem::take(&mut h.failed_connect_ms) {
-                took if took > SLOW_CONNECT_MS => self.slow_connect_until = now + RETENTION_MS,
-                // One alone may be a host that broke it; where few are taken the next is not far.
-                took if took > 0.0 && self.connection_refused.recurs_within(now, SECOND_MS) => {
+                connect_ms if connect_ms > SLOW_CONNECT_MS => self.slow_connect_until = now + RETENTION_MS,
+                // A single failure may be a connection that the host broke. Where hosts accept few
+                // connections, another one follows soon.
+                connect_ms if connect_ms > 0.0 && self.connection_refused.recurs_within(now, SECOND_MS) => {
                     self.scarce_connections_until = now + RETENTION_MS
                 }
                 _ => {}
             }
             if h.down_since < f64::INFINITY {
-                self.record_contact(now, out, host);
+                self.record_contact(now, outbox, host);
             }
         } else if ending == Ending::Reset && !h.probe_reset.recurs_within(now, PROBE_INTERVAL_MS) {
-            // Its connection may have been closed as an op's was; a host that is down refuses the next one.
-            self.probe_host(now, out, host);
-        } else if ending.is_contact_failure() && h.last_response_at < now - spent {
+            // The probe's connection may have been closed for the same reason as an op's. A host that is down
+            // refuses the next one.
+            self.probe_host(now, outbox, host);
+        } else if ending.is_contact_failure() && h.last_response_at < now - elapsed_ms {
             h.failed_connect_ms = 0.0;
-            self.mark_unresponsive(now, out, host, "probe unanswered");
+            self.mark_unresponsive(now, outbox, host, "probe unanswered");
         }
-        self.retry_held(now, out, group, false);
+        self.retry_held(now, outbox, group, false);
     }
 
-    /// What other routers say: a direction, a probe spared, or a reason to look; never that a host is fresh or well.
-    pub fn peer_reported(&mut self, now: f64, out: &mut dyn Outbox, host: usize, peer_fact: PeerReport) {
-        let (checked, h) = (self.params.hosts_reject_stale_reads, &mut self.hosts[host]);
-        if h.record_peer_report(now, peer_fact, checked)
+    /// Takes over a report of another router: a hint at the primary, a replica's lag, or a reason to probe.
+    /// It never proves that a host is fresh or healthy.
+    pub fn peer_reported(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize, report: PeerReport) {
+        let (hosts_reject_stale_reads, h) = (self.params.hosts_reject_stale_reads, &mut self.hosts[host]);
+        if h.record_peer_report(now, report, hosts_reject_stale_reads)
             && h.last_response_at < now - PROBE_INTERVAL_MS
             && self.may_probe_host(now, host)
         {
-            self.probe_host(now, out, host);
+            self.probe_host(now, outbox, host);
         }
     }
 
-    fn record_contact(&mut self, now: f64, out: &mut dyn Outbox, host: usize) {
+    /// The host has responded. After a loss of contact of more than a second it counts as restarted.
+    fn record_contact(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize) {
         let h = &mut self.hosts[host];
         h.last_response_at = now;
         if now - h.down_since > SECOND_MS && h.started_at < h.down_since {
@@ -353,118 +414,140 @@
         h.down_since = f64::INFINITY;
         if h.is_unresponsive {
             h.is_unresponsive = false;
-            out.log(&format!("host {host} answers again"));
+            outbox.log(&format!("host {host} answers again"));
         }
     }
 
-    fn mark_unresponsive(&mut self, now: f64, out: &mut dyn Outbox, host: usize, why: &str) {
+    /// Sets a host aside until it responds again.
+    fn mark_unresponsive(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize, reason: &str) {
         let h = &mut self.hosts[host];
         h.down_since = h.down_since.min(now);
         if !std::mem::replace(&mut h.is_unresponsive, true) {
-            out.log(&format!("host {host} set aside: {why}, {} out", h.in_flight.len()));
-            out.contact_lost(host);
+            outbox.log(&format!("host {host} set aside: {reason}, {} sends in flight", h.in_flight.len()));
+            outbox.contact_lost(host);
         }
     }
 
-    pub fn op_arrived(&mut self, now: f64, out: &mut dyn Outbox, op: OpRequest) {
+    /// A client has sent an op.
+    pub fn op_arrived(&mut self, now: f64, outbox: &mut dyn Outbox, op: OpRequest) {
         let OpRequest {
             id,
-            op_type: kind,
+            op_type,
             group,
             tenant,
             session,
-            client_timeout_ms: patience,
-            since_write_ms: since_write,
-            is_retry: repeat,
-            extra_latency_ms: longer,
-            op_timeout_ms: op_timeout,
+            client_timeout_ms,
+            since_write_ms,
+            is_retry,
+            extra_latency_ms,
+            op_timeout_ms,
         } = op;
         state::ensure_group(&mut self.groups, group);
-        let over_share = self.tenant_shares.get_mut(tenant).is_some_and(|s| s.charge(now));
-        let t = &mut self.op_types[kind];
-        let patience = if patience.is_finite() { patience.max(0.0) } else { t.spec.latency_target_ms };
-        // First tries have one patience, the commonest; another is what the op timeout leaves of a last try
-        // and dates its first: past that one's target it is not worth sending. Where clients mark no repeats,
-        // only as many ops are dated as were given up lately: clients that just lost patience are served.
+        let is_over_share = self.tenant_shares.get_mut(tenant).is_some_and(|s| s.charge(now));
+        let t = &mut self.op_types[op_type];
+        let client_timeout_ms =
+            if client_timeout_ms.is_finite() { client_timeout_ms.max(0.0) } else { t.spec.latency_target_ms };
+        // First tries share the most frequent client timeout. A different one is what remains of the op
+        // timeout for the last try, which dates the first try: after the latency target of that one, the op
+        // is not worth sending. Where clients do not mark retries, only as many ops are dated as were given
+        // up recently, so that clients that have merely shortened their timeout are served.
         (t.recent_give_ups, t.recent_give_ups_at) =
-            (t.recent_give_ups * 0.5f64.powf((now - t.recent_give_ups_at) / op_timeout), now);
-        let same = t.client_timeout.observe(patience, TIMEOUT_TOLERANCE * op_timeout, repeat != Some(true));
-        let first = same || repeat == Some(false);
-        // Where clients come back to the router that gave them up, when they come tells whose try it is.
+            (t.recent_give_ups * 0.5f64.powf((now - t.recent_give_ups_at) / op_timeout_ms), now);
+        let is_usual_timeout = t.client_timeout.observe(
+            client_timeout_ms,
+            TIMEOUT_TOLERANCE * op_timeout_ms,
+            is_retry != Some(true),
+        );
+        let is_likely_first_try = is_usual_timeout || is_retry == Some(false);
+        // Where clients retry at the router that gave up their op, the time of arrival identifies the first
+        // try.
         t.arrivals.add(now, 1.0, DEMAND_WINDOW_MS);
-        let rate = t.arrivals.value / DEMAND_WINDOW_MS / self.groups.len() as f64;
-        let back = self.retry_matcher.match_retry(now, (kind, group), repeat, rate, self.params.tick_ms);
-        let dated = !first
+        let arrivals_per_ms = t.arrivals.value / DEMAND_WINDOW_MS / self.groups.len() as f64;
+        let matched_first_try = self.retry_matcher.match_retry(
+            now,
+            (op_type, group),
+            is_retry,
+            arrivals_per_ms,
+            self.params.tick_ms,
+        );
+        let is_dated_by_timeout = !is_likely_first_try
             && t.client_timeout.votes >= MIN_TIMEOUT_VOTES
-            && (repeat.is_some() || t.recent_give_ups >= 1.0);
-        if dated && repeat.is_none() {
+            && (is_retry.is_some() || t.recent_give_ups >= 1.0);
+        if is_dated_by_timeout && is_retry.is_none() {
             t.recent_give_ups -= 1.0;
         }
-        let undated = if repeat == Some(true) { t.give_up_age_ms } else { 0.0 };
-        let age = if dated { (op_timeout - patience).max(0.0) } else { undated };
-        let age = back.map_or(age, |begun| now - begun);
-        let need_pos = match t.spec.consistency {
+        let default_age_ms = if is_retry == Some(true) { t.give_up_age_ms } else { 0.0 };
+        let age_ms =
+            if is_dated_by_timeout { (op_timeout_ms - client_timeout_ms).max(0.0) } else { default_age_ms };
+        let age_ms = matched_first_try.map_or(age_ms, |first_try_at| now - first_try_at);
+        let min_position = match t.spec.consistency {
             Consistency::Fresh => now,
             Consistency::Session => {
-                // The commit was rounded up and positions down: one ms more covers both.
-                let carried = since_write.filter(|ms| ms.is_finite() && *ms > 0.0).map(|ms| now - ms + 1.0);
-                let own = self.session_commits.latest(session);
-                if self.params.track_session_writes { own } else { carried.unwrap_or(f64::NEG_INFINITY) }
+                // The commit time was rounded up and positions are rounded down: 1 ms more covers both.
+                let reported_write =
+                    since_write_ms.filter(|ms| ms.is_finite() && *ms > 0.0).map(|ms| now - ms + 1.0);
+                let tracked_write = self.session_commits.latest(session);
+                if self.params.track_session_writes {
+                    tracked_write
+                } else {
+                    reported_write.unwrap_or(f64::NEG_INFINITY)
+                }
             }
             _ => f64::NEG_INFINITY,
         };
-        let lot = self.random.next_f64();
+        let admission_draw = self.random.next_f64();
         let slot = self.ops.add(Op {
             id,
-            op_type: kind,
+            op_type,
             group,
             session,
             arrived_at: now,
-            first_try_at: now - age,
-            target_at: now + (t.spec.latency_target_ms + longer - age).min(patience),
-            give_up_at: now + patience - self.params.reply_margin_ms,
-            min_position: need_pos,
-            value: t.spec.value * if over_share { self.params.over_share_value } else { 1.0 },
-            is_over_share: over_share,
-            admission_draw: lot,
-            is_first_try: age == 0.0,
+            first_try_at: now - age_ms,
+            target_at: now + (t.spec.latency_target_ms + extra_latency_ms - age_ms).min(client_timeout_ms),
+            give_up_at: now + client_timeout_ms - self.params.reply_margin_ms,
+            min_position,
+            value: t.spec.value * if is_over_share { self.params.over_share_value } else { 1.0 },
+            is_over_share,
+            admission_draw,
+            is_first_try: age_ms == 0.0,
             ..Op::default()
         });
-        if self.groups[group].held_ops.is_empty() || patience <= self.params.reply_margin_ms {
-            self.route_op(now, out, slot);
+        if self.groups[group].held_ops.is_empty() || client_timeout_ms <= self.params.reply_margin_ms {
+            self.route_op(now, outbox, slot);
         } else {
-            // Others wait already: the next answer or beat takes the best of them.
+            // Others are waiting: the next answer or tick picks the most valuable one.
             state::hold_op(&mut self.ops, &mut self.groups, slot);
         }
     }
 
-    /// The router ends: what is open is answered by then.
-    pub fn set_shutdown_deadline(&mut self, by: f64) {
-        state::cap_give_up_at(&mut self.ops, by - self.params.reply_margin_ms);
+    /// The router shuts down: open ops are answered by this time.
+    pub fn set_shutdown_deadline(&mut self, deadline: f64) {
+        state::cap_give_up_at(&mut self.ops, deadline - self.params.reply_margin_ms);
     }
 
-    /// The client of these has gone; no answer is owed, and none of them takes the room that another leaves.
-    pub fn client_left(&mut self, now: f64, out: &mut dyn Outbox, ids: &[OpId]) {
-        let open = |id: &OpId| self.ops.find(*id).filter(|s| !self.ops.get(*s).is_answered);
-        let slots: Vec<usize> = ids.iter().filter_map(open).collect();
+    /// The client of these ops has disconnected, and they need no answer. All are closed before held ops are
+    /// retried, so that none of them takes the room that another one frees.
+    pub fn client_left(&mut self, now: f64, outbox: &mut dyn Outbox, ids: &[OpId]) {
+        let unanswered = |id: &OpId| self.ops.find(*id).filter(|s| !self.ops.get(*s).is_answered);
+        let slots: Vec<usize> = ids.iter().filter_map(unanswered).collect();
         let groups: std::collections::BTreeSet<_> = slots.iter().map(|s| self.ops.get(*s).group).collect();
         for slot in slots {
-            self.close_op(slot, out);
+            self.close_op(slot, outbox);
             self.retry_matcher.record_given_up(now, self.ops.get(slot), 0.0);
             self.ops.remove_if_finished(slot);
         }
-        groups.into_iter().for_each(|group| self.retry_held(now, out, group, false));
+        groups.into_iter().for_each(|group| self.retry_held(now, outbox, group, false));
     }
 
-    /// A send has ended; `over` says that its op has been answered.
+    /// A send has ended; `is_answered` tells whether its op has been answered.
     pub fn send_ended(
         &mut self,
         now: f64,
-        out: &mut dyn Outbox,
+        outbox: &mut dyn Outbox,
         id: OpId,
         send: usize,
         ending: Ending,
-        over: bool,
+        is_answered: bool,
     ) {
         (self.now, self.is_outlier_check_due) = (now, true);
         let Some(slot) = self.ops.find(id) else { return };
@@ -472,69 +555,72 @@
         let group = op.group;
         let Some(s) = op.sends.get_mut(send).filter(|s| s.ending.is_none()) else { return };
         s.ending = Some(ending);
-        let back = SendResult { now, slot, host: s.host, sent_at: s.sent_at, ending };
-        let heard = self.hosts[back.host].last_response_at;
+        let result = SendResult { now, slot, host: s.host, sent_at: s.sent_at, ending };
+        let last_response_at = self.hosts[result.host].last_response_at;
         if ending.is_from_host() {
-            self.record_contact(now, out, back.host);
-        } else if matches!(ending, Ending::Reset | Ending::Unreached) && heard < back.sent_at {
-            // The host may have closed it as idle, or take no more connections, or slowly: a probe tells.
-            self.hosts[back.host].failed_connect_ms =
-                if ending == Ending::Reset { 0.0 } else { now - back.sent_at };
-            self.probe_host(now, out, back.host);
-        }
-        for (_, up) in STAGES.iter().rev() {
-            up(self, &back);
-        }
-        if over && !self.ops.get(slot).is_answered {
-            self.close_op(slot, out);
-        }
-        // Where hosts take few connections, an idle one keeps other routers out.
-        let h = &mut self.hosts[back.host];
+            self.record_contact(now, outbox, result.host);
+        } else if matches!(ending, Ending::Reset | Ending::Unreached) && last_response_at < result.sent_at {
+            // The host may have closed the connection as idle, or accept no more connections, or accept them
+            // slowly. A probe shows whether it is up.
+            self.hosts[result.host].failed_connect_ms =
+                if ending == Ending::Reset { 0.0 } else { now - result.sent_at };
+            self.probe_host(now, outbox, result.host);
+        }
+        for (_, update) in STAGES.iter().rev() {
+            update(self, &result);
+        }
+        if is_answered && !self.ops.get(slot).is_answered {
+            self.close_op(slot, outbox);
+        }
+        // Where hosts accept few connections, an idle one keeps other routers from connecting.
+        let h = &mut self.hosts[result.host];
         if now < self.scarce_connections_until
             && now >= self.slow_connect_until
             && h.in_flight.is_empty()
             && h.open_connections > 0
         {
             h.open_connections = 0;
-            out.close_idle_connections(back.host);
+            outbox.close_idle_connections(result.host);
         }
         let op = self.ops.get(slot);
         if !op.is_answered && op.outstanding() == 0 && !op.is_held {
-            self.route_op(now, out, slot);
+            self.route_op(now, outbox, slot);
         }
         self.ops.remove_if_finished(slot);
-        self.retry_held(now, out, group, false);
+        self.retry_held(now, outbox, group, false);
     }
 
-    /// Runs the held ops of a group through the chain, the most value per work first. Between beats the first
-    /// op of a type that must go on waiting speaks for its type, or a crowd would cost time squared.
-    fn retry_held(&mut self, now: f64, out: &mut dyn Outbox, group: usize, all: bool) {
+    /// Passes the held ops of a group through the stages, those with the most value per work first. Without
+    /// `retry_all` (between ticks), once an op is held again, the further ones of its type stay held untried:
+    /// otherwise the cost would be quadratic in the number of held ops.
+    fn retry_held(&mut self, now: f64, outbox: &mut dyn Outbox, group: usize, retry_all: bool) {
         if group >= self.groups.len() || self.groups[group].held_ops.is_empty() {
             return;
         }
-        let mut held = std::mem::take(&mut self.groups[group].held_ops);
-        let rank = |slot: &usize| {
+        let mut held_ops = std::mem::take(&mut self.groups[group].held_ops);
+        let value_per_work = |slot: &usize| {
             let op = self.ops.get(*slot);
             let t = &self.op_types[op.op_type];
             op.value * if now > op.target_at { t.spec.late_value } else { 1.0 } / t.usual_ms
         };
-        held.sort_by(|a, b| rank(b).total_cmp(&rank(a)));
-        let mut stuck = vec![false; self.op_types.len()];
-        for slot in held {
+        held_ops.sort_by(|a, b| value_per_work(b).total_cmp(&value_per_work(a)));
+        let mut is_blocked = vec![false; self.op_types.len()];
+        for slot in held_ops {
             let op = self.ops.get_mut(slot);
             op.is_held = false;
-            let kind = op.op_type;
-            if stuck[kind] && !all {
+            let op_type = op.op_type;
+            if is_blocked[op_type] && !retry_all {
                 state::hold_op(&mut self.ops, &mut self.groups, slot);
                 continue;
             }
-            self.route_op(now, out, slot);
-            stuck[kind] |= self.groups[group].held_ops.last() == Some(&slot);
+            self.route_op(now, outbox, slot);
+            is_blocked[op_type] |= self.groups[group].held_ops.last() == Some(&slot);
         }
     }
 
-    fn route_op(&mut self, now: f64, out: &mut dyn Outbox, slot: usize) {
-        let mut turn = SendAttempt {
+    /// Passes an op through the stages and sends it, holds it or gives it up.
+    fn route_op(&mut self, now: f64, outbox: &mut dyn Outbox, slot: usize) {
+        let mut attempt = SendAttempt {
             now,
             slot,
             host: usize::MAX,
@@ -542,317 +628,362 @@
             is_fallback: false,
             hosts_to_probe: Vec::new(),
         };
-        for (down, _) in &STAGES {
-            let step = down(self, &mut turn);
-            for host in std::mem::take(&mut turn.hosts_to_probe).into_iter() {
+        for (stage, _) in &STAGES {
+            let outcome = stage(self, &mut attempt);
+            for host in std::mem::take(&mut attempt.hosts_to_probe).into_iter() {
                 if self.may_probe_host(now, host) {
-                    self.probe_host(now, out, host);
+                    self.probe_host(now, outbox, host);
                 }
             }
-            match step {
+            match outcome {
                 StageOutcome::Continue => {}
                 StageOutcome::Hold => return state::hold_op(&mut self.ops, &mut self.groups, slot),
-                // While a send is out, its answer may still come; the beat ends the op in time.
+                // The answer of an outstanding send may still arrive; the tick gives the op up in time.
                 StageOutcome::Reject if self.ops.get(slot).outstanding() > 0 => {
                     return state::hold_op(&mut self.ops, &mut self.groups, slot);
                 }
-                StageOutcome::Reject => return self.give_up(now, out, slot),
+                StageOutcome::Reject => return self.give_up(now, outbox, slot),
             }
         }
-        let (host, kind) = (turn.host, self.ops.get(slot).op_type);
+        let (host, op_type) = (attempt.host, self.ops.get(slot).op_type);
         let begin_by = self.send_deadline(self.ops.get(slot), host);
-        let (usual, weight) = (self.op_types[kind].usual_ms, self.relative_weight(kind));
+        let (usual_ms, weight) = (self.op_types[op_type].usual_ms, self.relative_weight(op_type));
         let op = self.ops.get_mut(slot);
-        let dials = self.hosts[host].idle_connections() == 0;
+        let opens_connection = self.hosts[host].idle_connections() == 0;
         op.sends.push(Send { host, sent_at: now, ending: None, is_withdrawn: false, is_lost: false });
-        let send = op.sends.len() - 1;
-        let (group, level) = (op.group, self.op_types[kind].spec.consistency);
-        if level == Consistency::Write && self.primary_of(group) != Some(host) {
+        let send_index = op.sends.len() - 1;
+        let (group, consistency) = (op.group, self.op_types[op_type].spec.consistency);
+        if consistency == Consistency::Write && self.primary_of(group) != Some(host) {
             self.groups[group].discovery_write = Some(slot);
-        } else if matches!(level, Consistency::Write | Consistency::Fresh) {
-            self.groups[group].primary_work.add(now, usual, RETENTION_MS);
+        } else if matches!(consistency, Consistency::Write | Consistency::Fresh) {
+            self.groups[group].primary_work.add(now, usual_ms, RETENTION_MS);
         }
-        let cold = self.warm_fraction(now, host);
+        let warm_fraction = self.warm_fraction(now, host);
         let h = &mut self.hosts[host];
         h.in_flight.push(InFlightSend {
             op_slot: slot,
-            send_index: send,
+            send_index,
             sent_at: now,
-            usual_ms: usual,
+            usual_ms,
             weight,
-            is_fallback: turn.is_fallback,
-            opens_connection: dials,
+            is_fallback: attempt.is_fallback,
+            opens_connection,
         });
         h.in_flight_weight += weight;
-        // Turns come as often as the host has capacity.
-        h.rotation_position += weight / (h.capacity * cold);
-        if cold < 1.0 {
-            h.record_work(now, usual, now - self.params.overload_window_ms);
+        // A host is next in the rotation in proportion to its present capacity.
+        h.rotation_position += weight / (h.capacity * warm_fraction);
+        if warm_fraction < 1.0 {
+            h.record_work(now, usual_ms, now - self.params.overload_window_ms);
         }
-        h.next_trial_at = if turn.is_trial { now + 2.0 * PROBE_INTERVAL_MS } else { h.next_trial_at };
-        out.send(self.ops.get(slot).id, host, begin_by);
+        h.next_trial_at = if attempt.is_trial { now + 2.0 * PROBE_INTERVAL_MS } else { h.next_trial_at };
+        outbox.send(self.ops.get(slot).id, host, begin_by);
     }
 
-    /// The final answer, given as soon as it is known: a busy reply where that is true, else an error.
-    fn give_up(&mut self, now: f64, out: &mut dyn Outbox, slot: usize) {
+    /// Gives the final answer as soon as it is certain: a busy reply where a retry is harmless, else an error
+    /// reply.
+    fn give_up(&mut self, now: f64, outbox: &mut dyn Outbox, slot: usize) {
         let op = self.ops.get(slot);
         let t = &mut self.op_types[op.op_type];
         if op.is_first_try {
             update_average(&mut t.give_up_age_ms, now - op.arrived_at, LATENCY_SMOOTHING);
-            // Two for each, as time and other routers take some.
+            // Counted twice, as the count decays and some clients retry at other routers.
             t.recent_give_ups += 2.0;
         }
-        let lost = self.groups[op.group].no_primary_since < f64::INFINITY;
-        // What is out is called back first: a send whose connection is still opening would leave after the answer.
-        self.close_op(slot, out);
+        let has_no_primary = self.groups[op.group].no_primary_since < f64::INFINITY;
+        // Outstanding sends are withdrawn first: one whose connection is still opening would leave after the
+        // answer.
+        self.close_op(slot, outbox);
         let op = self.ops.get(slot);
         if self.may_busy_reply(op) {
-            let wait = if lost { 2.0 * PROBE_INTERVAL_MS } else { self.op_types[op.op_type].usual_ms };
-            // Spread, as those who are told the same time come back as one.
-            let wait =
-                wait.max(self.admission.1 * (0.5 + op.admission_draw)).min(self.params.max_retry_after_ms);
-            out.busy_reply(op.id, wait);
-            self.retry_matcher.record_given_up(now, op, wait);
+            let retry_after_ms =
+                if has_no_primary { 2.0 * PROBE_INTERVAL_MS } else { self.op_types[op.op_type].usual_ms };
+            // Spread out, as clients that are given the same time would retry all at once.
+            let retry_after_ms = retry_after_ms
+                .max(self.admission.1 * (0.5 + op.admission_draw))
+                .min(self.params.max_retry_after_ms);
+            outbox.busy_reply(op.id, retry_after_ms);
+            self.retry_matcher.record_given_up(now, op, retry_after_ms);
         } else {
-            out.error_reply(op.id);
+            outbox.error_reply(op.id);
             self.retry_matcher.record_given_up(now, op, 0.0);
         }
         self.ops.remove_if_finished(slot);
     }
 
-    /// Nothing more is owed for the op; what is still out is called back to spare the hosts.
-    fn close_op(&mut self, slot: usize, out: &mut dyn Outbox) {
+    /// The op needs no further answer: withdraws its outstanding sends to relieve the hosts.
+    fn close_op(&mut self, slot: usize, outbox: &mut dyn Outbox) {
         state::mark_answered(&mut self.ops, &mut self.groups, slot);
-        for send in 0..self.ops.get(slot).sends.len() {
-            self.withdraw_send(slot, send, out);
+        for send_index in 0..self.ops.get(slot).sends.len() {
+            self.withdraw_send(slot, send_index, outbox);
         }
     }
 
-    fn withdraw_send(&mut self, slot: usize, send: usize, out: &mut dyn Outbox) {
+    /// Withdraws a send if it is outstanding.
+    fn withdraw_send(&mut self, slot: usize, send_index: usize, outbox: &mut dyn Outbox) {
         let op = self.ops.get_mut(slot);
-        let s = &mut op.sends[send];
-        // Withdrawing closes a connection. Where opening one takes long, the next ops would be late for it.
-        let keep = self.now < self.slow_connect_until && self.hosts[s.host].uses_open_connection(slot);
+        let s = &mut op.sends[send_index];
+        // Withdrawing closes the connection. Where connections are slow to open, the next ops would be late.
+        let keeps_connection =
+            self.now < self.slow_connect_until && self.hosts[s.host].uses_open_connection(slot);
         if s.ending.is_none() && !s.is_withdrawn {
-            // What has not left yet is no withdrawal at the host: left alone, it would leave after the final answer.
-            s.is_withdrawn = self.params.may_withdraw && !keep;
-            out.withdraw(op.id, send, s.is_withdrawn);
+            // Called even where a send that has left is not broken off: one that has not left yet must not
+            // leave after the final answer, and stopping it is no withdrawal at the host.
+            s.is_withdrawn = self.params.may_withdraw && !keeps_connection;
+            outbox.withdraw(op.id, send_index, s.is_withdrawn);
         }
     }
 
-    // ---- the chain, downwards
+    // ---- stages on the way to a host
 
-    /// Ends ops that can no longer earn anything or may not be sent again.
-    fn admit(&mut self, turn: &mut SendAttempt) -> StageOutcome {
-        let op = self.ops.get(turn.slot);
+    /// Rejects ops that can no longer be answered usefully, may not be sent again, or exceed the admitted
+    /// share.
+    fn admit(&mut self, attempt: &mut SendAttempt) -> StageOutcome {
+        let op = self.ops.get(attempt.slot);
         let t = &self.op_types[op.op_type];
-        let over = turn.now >= op.give_up_at || op.sends.len() >= self.params.max_sends;
-        let (share, new) = (self.admission.0, op.sends.is_empty());
-        let carried =
-            share >= 1.0 || op.admission_draw < share * self.relative_to_mean(op.value, |t| t.spec.value);
-        if over || (new && !carried) || turn.now >= self.retry_deadline(op) {
+        let is_exhausted = attempt.now >= op.give_up_at || op.sends.len() >= self.params.max_sends;
+        let (admitted_share, is_new) = (self.admission.0, op.sends.is_empty());
+        let is_admitted = admitted_share >= 1.0
+            || op.admission_draw < admitted_share * self.relative_to_mean(op.value, |t| t.spec.value);
+        if is_exhausted || (is_new && !is_admitted) || attempt.now >= self.retry_deadline(op) {
             return StageOutcome::Reject;
         }
-        let in_time = turn.now + t.send_ms < op.target_at;
-        if !in_time && (t.spec.late_value == 0.0 || turn.now + t.usual_ms > op.give_up_at) {
+        let is_in_time = attempt.now + t.send_ms < op.target_at;
+        if !is_in_time && (t.spec.late_value == 0.0 || attempt.now + t.usual_ms > op.give_up_at) {
             return StageOutcome::Reject;
         }
-        if turn.now < op.retry_not_before { StageOutcome::Hold } else { StageOutcome::Continue }
+        if attempt.now < op.retry_not_before { StageOutcome::Hold } else { StageOutcome::Continue }
     }
 
-    /// Writes and fresh reads: the cached primary, or one scout a group while none is known.
-    fn route_to_primary(&mut self, turn: &mut SendAttempt) -> StageOutcome {
-        let leads = self.role_index(self.ops.get(turn.slot));
-        let op = self.ops.get_mut(turn.slot);
-        let (level, usual, group) =
+    /// Routes writes and fresh reads to the cached primary. While none is known, one write per group looks
+    /// for it.
+    fn route_to_primary(&mut self, attempt: &mut SendAttempt) -> StageOutcome {
+        let role_index = self.role_index(self.ops.get(attempt.slot));
+        let op = self.ops.get_mut(attempt.slot);
+        let (consistency, usual_ms, group) =
             (self.op_types[op.op_type].spec.consistency, self.op_types[op.op_type].usual_ms, op.group);
         if !std::mem::replace(&mut op.is_counted_as_demand, true) {
-            self.groups[group].demand[leads].add(turn.now, usual, 0.0, RETENTION_MS);
-            self.demand.add(turn.now, leads, usual, op.is_first_try, (DEMAND_WINDOW_MS, RETENTION_MS));
+            self.groups[group].demand[role_index].add(attempt.now, usual_ms, 0.0, RETENTION_MS);
+            self.demand.add(
+                attempt.now,
+                role_index,
+                usual_ms,
+                op.is_first_try,
+                (DEMAND_WINDOW_MS, RETENTION_MS),
+            );
         }
-        if leads == 0 {
+        if role_index == 0 {
             return StageOutcome::Continue;
         }
         let primary = self.primary_of(group);
         if let Some(m) = primary.filter(|m| !self.hosts[*m].is_unresponsive) {
-            turn.host = m;
+            attempt.host = m;
             return StageOutcome::Continue;
         }
-        // Whom others have seen lead is asked, or tried, first.
-        let (g, hint) = (&self.groups[group], |m: &usize| self.hosts[*m].peer_primary_hint());
-        let (members, new) = (&g.members, turn.now - g.no_primary_since < SECOND_MS);
-        let told = members.iter().copied().filter(|m| new && hint(m) > f64::NEG_INFINITY);
-        let told = told.max_by(|a, b| hint(a).total_cmp(&hint(b)));
-        turn.hosts_to_probe.extend(members.iter().filter(|m| told.is_none_or(|t| t == **m)));
-        // A primary out of contact would swallow what can't be sent again.
-        let scouted = self.groups[group].discovery_write.is_some_and(|s| s != turn.slot);
-        if primary.is_some() || level == Consistency::Fresh || scouted {
+        // The host that peers have last seen as primary is probed, or sent the write, first.
+        let (g, hinted_at) = (&self.groups[group], |m: &usize| self.hosts[*m].peer_primary_hint());
+        let (members, is_recent) = (&g.members, attempt.now - g.no_primary_since < SECOND_MS);
+        let hinted = members.iter().copied().filter(|m| is_recent && hinted_at(m) > f64::NEG_INFINITY);
+        let hinted = hinted.max_by(|a, b| hinted_at(a).total_cmp(&hinted_at(b)));
+        attempt.hosts_to_probe.extend(members.iter().filter(|m| hinted.is_none_or(|t| t == **m)));
+        // An unresponsive primary might lose writes that cannot be sent again.
+        let is_search_running = self.groups[group].discovery_write.is_some_and(|s| s != attempt.slot);
+        if primary.is_some() || consistency == Consistency::Fresh || is_search_running {
             return StageOutcome::Hold;
         }
-        // The write rotates over members that have not just said they are replicas.
-        let (op, members) = (self.ops.get(turn.slot), &self.groups[group].members);
-        let misses = op.sends.len();
+        // The write tries the members that have not just reported being replicas, in turn.
+        let (op, members) = (self.ops.get(attempt.slot), &self.groups[group].members);
+        let tries = op.sends.len();
         let (first, count) = (self.groups[group].next_candidate, members.len());
-        let first = told.and_then(|t| members.iter().position(|m| *m == t)).unwrap_or(first);
+        let first = hinted.and_then(|t| members.iter().position(|m| *m == t)).unwrap_or(first);
         let next = (0..count).map(|i| (first + i) % count).find(|i| {
             let h = &self.hosts[members[*i]];
             let tried = op.sends.iter().any(|s| s.host == members[*i]);
             h.state == HostState::Ready
                 && !h.is_unresponsive
-                && h.replica_seen_at < turn.now - PROBE_INTERVAL_MS
+                && h.replica_seen_at < attempt.now - PROBE_INTERVAL_MS
                 && !tried
         });
-        let Some(i) = next.filter(|_| misses < self.params.max_sends.div_ceil(2)) else {
-            // Missed everywhere: the next probe, not a further send, finds the primary.
-            self.ops.get_mut(turn.slot).retry_not_before = turn.now + PROBE_INTERVAL_MS;
+        let Some(i) = next.filter(|_| tries < self.params.max_sends.div_ceil(2)) else {
+            // No member has accepted it: the next probe, not a further send, has to find the primary.
+            self.ops.get_mut(attempt.slot).retry_not_before = attempt.now + PROBE_INTERVAL_MS;
             self.groups[group].discovery_write = None;
             return StageOutcome::Hold;
         };
-        turn.host = members[i];
+        attempt.host = members[i];
         self.groups[group].next_candidate = i + 1;
         StageOutcome::Continue
     }
 
-    /// Other reads rotate over the replicas that are fresh enough.
-    fn route_to_replica(&mut self, turn: &mut SendAttempt) -> StageOutcome {
-        if turn.host != usize::MAX {
+    /// Rotates other reads over the replicas that are fresh enough.
+    fn route_to_replica(&mut self, attempt: &mut SendAttempt) -> StageOutcome {
+        if attempt.host != usize::MAX {
             return StageOutcome::Continue;
         }
-        let op = self.ops.get(turn.slot);
+        let op = self.ops.get(attempt.slot);
         let primary = self.primary_of(op.group);
         let members = &self.groups[op.group].members;
-        let free = |m: &usize| {
+        let is_eligible = |m: &usize| {
             let failed =
-                op.sends.iter().any(|s| s.host == *m && s.sent_at > turn.now - 2.0 * PROBE_INTERVAL_MS);
+                op.sends.iter().any(|s| s.host == *m && s.sent_at > attempt.now - 2.0 * PROBE_INTERVAL_MS);
             self.hosts[*m].state == HostState::Ready && !failed
         };
-        let need = self.required_position(op, turn.now);
-        let mut others: Vec<usize> =
-            members.iter().copied().filter(|m| free(m) && Some(*m) != primary).collect();
-        let place = |m: usize| self.hosts[m].rotation_position;
-        others.sort_by(|a, b| place(*a).total_cmp(&place(*b)));
-        let fits = |m: &usize| self.estimated_position(turn.now, *m) >= need;
-        let doubtful = |m: &usize| self.hosts[*m].down_since < f64::INFINITY;
-        let fresh: Vec<usize> = others.iter().copied().filter(fits).collect();
-        // A host ejected proves itself by single reads; one that was behind too, where probes are dear.
-        let due = |m: &usize| !fits(m) && !doubtful(m) && self.may_probe_host(turn.now, *m);
-        let due =
-            |m: &usize| self.params.trial_reads_replace_probes && due(m) && self.has_room(turn.now, op, *m);
-        let trial = fresh.iter().copied().find(|m| self.hosts[*m].is_trial_due(turn.now)).map(|m| (m, true));
-        let trial = trial.or(others.iter().copied().find(due).map(|m| (m, false)));
+        let required_position = self.required_position(op, attempt.now);
+        let mut candidates: Vec<usize> =
+            members.iter().copied().filter(|m| is_eligible(m) && Some(*m) != primary).collect();
+        let rotation_position = |m: usize| self.hosts[m].rotation_position;
+        candidates.sort_by(|a, b| rotation_position(*a).total_cmp(&rotation_position(*b)));
+        let is_fresh = |m: &usize| self.estimated_position(attempt.now, *m) >= required_position;
+        let is_suspect = |m: &usize| self.hosts[*m].down_since < f64::INFINITY;
+        let fresh: Vec<usize> = candidates.iter().copied().filter(is_fresh).collect();
+        // An ejected host is tested with single reads; so is one that was behind, where probes cost more than
+        // reads.
+        let may_try_stale =
+            |m: &usize| !is_fresh(m) && !is_suspect(m) && self.may_probe_host(attempt.now, *m);
+        let may_try_stale = |m: &usize| {
+            self.params.trial_reads_replace_probes && may_try_stale(m) && self.has_room(attempt.now, op, *m)
+        };
+        let trial =
+            fresh.iter().copied().find(|m| self.hosts[*m].is_trial_due(attempt.now)).map(|m| (m, true));
+        let trial = trial.or(candidates.iter().copied().find(may_try_stale).map(|m| (m, false)));
         if let Some((m, trial)) = trial.filter(|_| op.sends.is_empty()) {
-            (turn.host, turn.is_trial, self.hosts[m].last_probe_at) = (m, trial, turn.now);
+            (attempt.host, attempt.is_trial, self.hosts[m].last_probe_at) = (m, trial, attempt.now);
             return StageOutcome::Continue;
         }
-        let well: Vec<usize> = fresh.iter().copied().filter(|m| !self.hosts[*m].is_unresponsive).collect();
-        let pool: Vec<usize> = well.iter().copied().filter(|m| !self.hosts[*m].is_ejected).collect();
-        // Reads ask for what only a probe can tell: whether the next in turn has caught up or answers again.
-        // Where few are fresh, one that is not due yet must not stand before those that are.
-        let thin = 2 * pool.len() <= others.len();
-        let unsure = |m: &usize| (!fits(m) || doubtful(m)) && (!thin || self.may_probe_host(turn.now, *m));
-        let asked =
+        let responsive: Vec<usize> =
+            fresh.iter().copied().filter(|m| !self.hosts[*m].is_unresponsive).collect();
+        let pool: Vec<usize> = responsive.iter().copied().filter(|m| !self.hosts[*m].is_ejected).collect();
+        // Only a probe shows whether the next replica in the rotation has caught up or responds again. Where
+        // few replicas are fresh, one whose probe is not due yet must not take the place of one whose probe
+        // is.
+        let is_pool_small = 2 * pool.len() <= candidates.len();
+        let needs_probe = |m: &usize| {
+            (!is_fresh(m) || is_suspect(m)) && (!is_pool_small || self.may_probe_host(attempt.now, *m))
+        };
+        let max_probes =
             if pool.is_empty() && !self.params.hosts_reject_stale_reads { HOST_SUBSET_SIZE } else { 1 };
-        turn.hosts_to_probe.extend(others.iter().copied().filter(unsure).take(asked));
-        // Long reads that any member may answer hold up the log where they run: spread evenly they would
-        // leave no replica fresh. The first in a common order take them, by a further digit of the lot, as
-        // many as their lateness asks for, or the next that idles; and only the first where few are fresh.
-        let room = |m: &&usize| self.has_room(turn.now, op, **m);
-        let mut line: Vec<&usize> = pool.iter().filter(|_| self.is_long(op.op_type)).collect();
-        line.sort_unstable();
-        let recent = turn.now - CAUGHT_UP_BOUND_SHARE * self.params.min_staleness_bound_ms;
-        let keeps_up =
-            line.iter().filter(|m| self.estimated_position(turn.now, ***m) >= recent).count() as f64;
-        let fed = keeps_up >= MIN_CAUGHT_UP_SHARE * line.len() as f64;
-        let wide = if fed { self.long_read_replicas } else { 1.0 };
-        let mine = line.get(((op.admission_draw * 16.0).fract() * wide) as usize).filter(|m| room(m));
-        let within = || line.iter().take(wide.ceil() as usize).find(|m| room(m));
-        let idle = |h: &Host| h.in_flight.is_empty() && self.relative_weight(op.op_type) <= h.in_flight_limit;
-        let next = || line.iter().find(|m| fed && idle(&self.hosts[***m]) && room(m));
-        if let Some(m) = mine.or_else(within).or_else(next).or(line.first()) {
-            turn.host = **m;
+        attempt.hosts_to_probe.extend(candidates.iter().copied().filter(needs_probe).take(max_probes));
+        // Long reads that any member may answer delay the log where they run. Spread evenly, they would leave
+        // no replica fresh, so they go to the first few replicas in an order common to all routers, or else
+        // to the next idle one. How many depends on how many long reads are late; only the first where few
+        // are caught up. Here and below, further digits of the admission draw serve as independent random
+        // numbers.
+        let has_room = |m: &&usize| self.has_room(attempt.now, op, **m);
+        let mut order: Vec<&usize> = pool.iter().filter(|_| self.is_long(op.op_type)).collect();
+        order.sort_unstable();
+        let caught_up_from = attempt.now - CAUGHT_UP_BOUND_SHARE * self.params.min_staleness_bound_ms;
+        let caught_up =
+            order.iter().filter(|m| self.estimated_position(attempt.now, ***m) >= caught_up_from).count()
+                as f64;
+        let may_spread = caught_up >= MIN_CAUGHT_UP_SHARE * order.len() as f64;
+        let spread = if may_spread { self.long_read_replicas } else { 1.0 };
+        let assigned =
+            order.get(((op.admission_draw * 16.0).fract() * spread) as usize).filter(|m| has_room(m));
+        let within_spread = || order.iter().take(spread.ceil() as usize).find(|m| has_room(m));
+        let is_idle =
+            |h: &Host| h.in_flight.is_empty() && self.relative_weight(op.op_type) <= h.in_flight_limit;
+        let next_idle = || order.iter().find(|m| may_spread && is_idle(&self.hosts[***m]) && has_room(m));
+        if let Some(m) = assigned.or_else(within_spread).or_else(next_idle).or(order.first()) {
+            attempt.host = **m;
             return StageOutcome::Continue;
         }
-        let few = pool.iter().filter(|m| self.hosts[**m].open_connections > 0).count()
+        let has_few_connected = pool.iter().filter(|m| self.hosts[**m].open_connections > 0).count()
             < self.params.preferred_connected_replicas;
-        let opens = few && turn.now >= self.slow_connect_until;
-        let ready = |m: &&usize| room(m) && (opens || self.hosts[**m].idle_connections() > 0);
-        // The first in turn of a zone that is drawn, by digits of the lot; a host there less as its answers strain.
-        let mut rooms = vec![0.0; self.params.zone_count];
+        let may_open_connection = has_few_connected && attempt.now >= self.slow_connect_until;
+        let is_available =
+            |m: &&usize| has_room(m) && (may_open_connection || self.hosts[**m].idle_connections() > 0);
+        // A zone is drawn at random, and the read goes to the next replica in the rotation there. A congested
+        // replica takes only some of these reads.
+        let mut zone_capacity = vec![0.0; self.params.zone_count];
         for m in &pool {
-            let room = rooms.get_mut(self.hosts[*m].zone);
-            room.into_iter().for_each(|r| *r += self.hosts[*m].capacity * self.warm_fraction(turn.now, *m));
-        }
-        let mut digit = (op.admission_draw * 1024.0).fract();
-        let parts = magpiewell_shares::zone_shares(
-            &rooms,
+            let capacity = zone_capacity.get_mut(self.hosts[*m].zone);
+            capacity
+                .into_iter()
+                .for_each(|r| *r += self.hosts[*m].capacity * self.warm_fraction(attempt.now, *m));
+        }
+        let mut zone_draw = (op.admission_draw * 1024.0).fract();
+        let zone_shares = magpiewell_shares::zone_shares(
+            &zone_capacity,
             &self.zone_read_shares,
             self.params.zone,
             LOCAL_ZONE_MAX_LOAD,
         );
-        let zone = parts.iter().position(|part| (digit -= part, digit < 0.0).1);
-        let eased = |h: &Host| {
+        let zone = zone_shares.iter().position(|share| (zone_draw -= share, zone_draw < 0.0).1);
+        let passes_congestion = |h: &Host| {
             (op.admission_draw * 64.0).fract()
                 < (LOCAL_ZONE_MAX_CONGESTION - h.congestion).max(LOCAL_ZONE_MIN_SHARE)
         };
-        let near = |h: &Host| Some(h.zone) == zone && eased(h);
-        let near = |m: &&usize| near(&self.hosts[**m]);
-        // Where no shares tell what hosts are built for, a cold replica takes only ops whose turn it is: judged by what
-        // one router sees of warm ones, all that those refuse would come to it, from all routers.
-        let warm = |m: &usize| self.warm_fraction(turn.now, *m) >= 1.0;
-        let turns = [pool.first(), pool.iter().find(near)];
-        let mixed = self.params.quota_ops_per_ms <= 0.0 && pool.iter().any(warm);
-        let own = |m: &&usize| !mixed || warm(m) || turns.contains(&Some(*m));
-        let mut line = pool.iter().filter(own);
-        let pick = line.clone().find(|m| near(m) && ready(m)).or(line.clone().find(ready));
-        let pick = pick.or(line.find(room)).copied();
-        // None is known to qualify: a probe's answer may show one.
-        let soon = |m: &usize| {
+        let is_in_zone = |h: &Host| Some(h.zone) == zone && passes_congestion(h);
+        let is_in_zone = |m: &&usize| is_in_zone(&self.hosts[**m]);
+        // Without tenant rates, which tell what hosts are built for, a cold replica takes only the ops for
+        // which it is next in the rotation. Judged by the little that one router sees of the warm ones, it
+        // would otherwise get, from all routers, every op that the warm ones refuse.
+        let is_warm = |m: &usize| self.warm_fraction(attempt.now, *m) >= 1.0;
+        let next_in_turn = [pool.first(), pool.iter().find(is_in_zone)];
+        let limits_cold = self.params.quota_ops_per_ms <= 0.0 && pool.iter().any(is_warm);
+        let may_take = |m: &&usize| !limits_cold || is_warm(m) || next_in_turn.contains(&Some(*m));
+        let mut order = pool.iter().filter(may_take);
+        let pick =
+            order.clone().find(|m| is_in_zone(m) && is_available(m)).or(order.clone().find(is_available));
+        let pick = pick.or(order.find(has_room)).copied();
+        // No replica is known to qualify; a probe may still find one.
+        let may_answer_soon = |m: &usize| {
             !self.hosts[*m].is_unresponsive
-                && (self.hosts[*m].is_probe_in_flight || self.may_probe_host(turn.now, *m))
+                && (self.hosts[*m].is_probe_in_flight || self.may_probe_host(attempt.now, *m))
         };
-        let unknown = pool.is_empty() && !self.params.hosts_reject_stale_reads && others.iter().any(soon);
-        if unknown && self.may_hold(turn) {
+        let awaits_probe = pool.is_empty()
+            && !self.params.hosts_reject_stale_reads
+            && candidates.iter().any(may_answer_soon);
+        if awaits_probe && self.may_hold(attempt) {
             return StageOutcome::Hold;
         }
-        // Those that are fresh are full, or none is: the primary if it has room, or an ejected one.
-        let usable = primary.filter(|m| pick.is_none() && free(m) && self.has_room(turn.now, op, *m));
-        let (first, well) = (pool.first().copied(), well.first().copied());
-        if let Some(m) = usable.filter(|_| self.may_fall_back(turn)) {
-            (turn.host, turn.is_fallback) = (m, true);
+        // All fresh replicas are full, or none is fresh: falls back to the primary if it has room, else to a
+        // replica that is full or ejected.
+        let fallback =
+            primary.filter(|m| pick.is_none() && is_eligible(m) && self.has_room(attempt.now, op, *m));
+        let (first, responsive) = (pool.first().copied(), responsive.first().copied());
+        if let Some(m) = fallback.filter(|_| self.may_fall_back(attempt)) {
+            (attempt.host, attempt.is_fallback) = (m, true);
         } else if let Some(m) = pick.or(first) {
-            turn.host = m;
-            // A host that was out of the rotation joins at its present place instead of catching up: by chance, or
-            // all routers would go on with the same one of those.
-            let place = self.hosts[m].rotation_position;
-            for o in others.into_iter().filter(|o| *o != m) {
-                let (h, lot) = (&mut self.hosts[o], self.random.next_f64());
-                h.rotation_position =
-                    if h.rotation_position < place { place + lot / h.capacity } else { h.rotation_position };
+            attempt.host = m;
+            // A host that was out of the rotation rejoins at the present position instead of catching up. The
+            // position is random, as all routers would otherwise continue with the same host.
+            let rotation_position = self.hosts[m].rotation_position;
+            for other in candidates.into_iter().filter(|other| *other != m) {
+                let (h, jitter) = (&mut self.hosts[other], self.random.next_f64());
+                h.rotation_position = if h.rotation_position < rotation_position {
+                    rotation_position + jitter / h.capacity
+                } else {
+                    h.rotation_position
+                };
             }
         } else {
-            turn.host = well.unwrap_or(usize::MAX);
+            attempt.host = responsive.unwrap_or(usize::MAX);
         }
         StageOutcome::Continue
     }
 
-    /// Whether a read may go to its primary: all routers together add but a part of what must go there.
-    fn may_fall_back(&mut self, turn: &SendAttempt) -> bool {
-        let op = self.ops.get_mut(turn.slot);
+    /// Whether a read may fall back to its primary. Decided at random, so that all routers together add only
+    /// a limited ratio to the work that must go there.
+    fn may_fall_back(&mut self, attempt: &SendAttempt) -> bool {
+        let op = self.ops.get_mut(attempt.slot);
         let g = &mut self.groups[op.group];
-        let work = if std::mem::replace(&mut op.is_counted_as_fallback, true) {
+        let work_ms = if std::mem::replace(&mut op.is_counted_as_fallback, true) {
             0.0
         } else {
             self.op_types[op.op_type].usual_ms
         };
-        g.fallback_work.add(turn.now, work, RETENTION_MS);
-        g.primary_work.add(turn.now, 0.0, RETENTION_MS);
-        let (lot, spilt, led) = (op.admission_draw, g.fallback_work.value, g.primary_work.value);
-        // One group is led too seldom to judge by it alone.
-        let mean = self.groups.iter().map(|g| g.primary_work.value).sum::<f64>() / self.groups.len() as f64;
-        lot * spilt < self.fallback_ratio * led.max(mean)
+        g.fallback_work.add(attempt.now, work_ms, RETENTION_MS);
+        g.primary_work.add(attempt.now, 0.0, RETENTION_MS);
+        let (admission_draw, fallback_work, primary_work) =
+            (op.admission_draw, g.fallback_work.value, g.primary_work.value);
+        // One group alone has too few ops for its primary to be judged by.
+        let mean_primary_work =
+            self.groups.iter().map(|g| g.primary_work.value).sum::<f64>() / self.groups.len() as f64;
+        admission_draw * fallback_work < self.fallback_ratio * primary_work.max(mean_primary_work)
     }
 
-    /// The position a host is taken to have: its last lag stands where it checks reads, else what it told.
+    /// The position that a host is assumed to have. Where hosts reject stale reads, its lag is taken to be
+    /// constant; elsewhere its last reported position counts.
     fn estimated_position(&self, now: f64, host: usize) -> f64 {
         let h = &self.hosts[host];
         match self.params.hosts_reject_stale_reads {
@@ -862,117 +993,128 @@
         }
     }
 
-    /// An op waits for room for a part of its spare time; one over its tenant's share not at all.
-    fn may_hold(&self, turn: &SendAttempt) -> bool {
-        let op = self.ops.get(turn.slot);
+    /// Whether an op may still be held: for a share of its spare time, but not at all beyond its tenant's
+    /// share.
+    fn may_hold(&self, attempt: &SendAttempt) -> bool {
+        let op = self.ops.get(attempt.slot);
         let t = &self.op_types[op.op_type];
-        let spare =
+        let max_hold_ms =
             (op.target_at - op.arrived_at - t.usual_ms) * if op.is_over_share { 0.0 } else { HOLD_SHARE };
-        turn.now - op.arrived_at <= spare
+        attempt.now - op.arrived_at <= max_hold_ms
     }
 
-    /// Keeps ops off a host that has enough in flight; what has waited too long for room is shed.
-    fn limit_in_flight(&mut self, turn: &mut SendAttempt) -> StageOutcome {
-        let op = self.ops.get(turn.slot);
-        match turn.is_trial || (turn.host != usize::MAX && self.has_room(turn.now, op, turn.host)) {
+    /// Holds ops whose host has no room, and sheds those that have waited too long.
+    fn limit_in_flight(&mut self, attempt: &mut SendAttempt) -> StageOutcome {
+        let op = self.ops.get(attempt.slot);
+        match attempt.is_trial || (attempt.host != usize::MAX && self.has_room(attempt.now, op, attempt.host))
+        {
             true => StageOutcome::Continue,
-            false if self.may_hold(turn) => StageOutcome::Hold,
+            false if self.may_hold(attempt) => StageOutcome::Hold,
             false => StageOutcome::Reject,
         }
     }
 
-    /// The rules. Whatever the stages above chose, a send that breaks one waits.
-    fn enforce_rules(&mut self, turn: &mut SendAttempt) -> StageOutcome {
-        let op = self.ops.get(turn.slot);
-        let cold = self.fits_cold_budget(turn.now, op, turn.host);
-        if cold && self.is_allowed(op, turn.host, turn.now) {
+    /// Holds every op whose send would break a rule, whatever the earlier stages have chosen.
+    fn enforce_rules(&mut self, attempt: &mut SendAttempt) -> StageOutcome {
+        let op = self.ops.get(attempt.slot);
+        let fits_cold_budget = self.fits_cold_budget(attempt.now, op, attempt.host);
+        if fits_cold_budget && self.is_allowed(op, attempt.host, attempt.now) {
             StageOutcome::Continue
         } else {
             StageOutcome::Hold
         }
     }
 
-    // ---- the chain, upwards
+    // ---- stages on the way back
 
-    fn record_commit(&mut self, back: &SendResult) {
-        let op = self.ops.get(back.slot);
-        let write = self.op_types[op.op_type].spec.consistency == Consistency::Write;
-        if self.params.track_session_writes && write && back.ending == Ending::Acked {
-            // `told` has just brought the commit as the host's position.
-            let (session, commit) = (op.session, self.hosts[back.host].position.max(back.sent_at));
-            self.session_commits.add(session, commit + 1.0, back.now - 4.0 * self.params.warmup_ms);
+    /// Records the commit of an acked write for later reads of its session.
+    fn record_commit(&mut self, result: &SendResult) {
+        let op = self.ops.get(result.slot);
+        let is_write = self.op_types[op.op_type].spec.consistency == Consistency::Write;
+        if self.params.track_session_writes && is_write && result.ending == Ending::Acked {
+            // `host_reported` has just set the host's position to the commit.
+            let (session, commit) = (op.session, self.hosts[result.host].position.max(result.sent_at));
+            self.session_commits.add(session, commit + 1.0, result.now - 4.0 * self.params.warmup_ms);
         }
     }
 
-    fn update_limits(&mut self, back: &SendResult) {
-        let op = self.ops.get(back.slot);
+    /// Updates the in-flight limit and the admitted shares.
+    fn update_limits(&mut self, result: &SendResult) {
+        let op = self.ops.get(result.slot);
         let t = &self.op_types[op.op_type];
-        // Unanswered it would have taken longer still: ops withdrawn at their target made a jam look well.
-        let rest = if back.ending.is_from_host() { 0.0 } else { t.usual_ms };
-        let spent = back.now - back.sent_at + rest;
-        let cold = self.warm_fraction(back.sent_at, back.host) < 1.0;
-        let (leads, led) = (self.role_index(op), usize::from(self.primary_of(op.group) == Some(back.host)));
-        let h = &mut self.hosts[back.host];
-        let Some((o, load)) = h.remove_in_flight(back.slot, back.sent_at) else { return };
-        h.record_connection(back.ending.is_from_host(), o.opens_connection);
-        if back.ending.cannot_have_run() && back.ending != Ending::Full {
+        // Without a response it would have taken longer still: ops withdrawn at their target would make a
+        // congested host look healthy.
+        let unobserved_ms = if result.ending.is_from_host() { 0.0 } else { t.usual_ms };
+        let spent_ms = result.now - result.sent_at + unobserved_ms;
+        let is_cold = self.warm_fraction(result.sent_at, result.host) < 1.0;
+        let (role_index, host_role_index) =
+            (self.role_index(op), usize::from(self.primary_of(op.group) == Some(result.host)));
+        let h = &mut self.hosts[result.host];
+        let Some((send, weight_before)) = h.remove_in_flight(result.slot, result.sent_at) else { return };
+        h.record_connection(result.ending.is_from_host(), send.opens_connection);
+        if result.ending.cannot_have_run() && result.ending != Ending::Full {
             return;
         }
-        let late = back.ending == Ending::Full || spent > LATE_TARGET_SHARE * t.spec.latency_target_ms;
-        if cold {
-            let least = MIN_SHARE * self.params.max_cold_load_factor;
-            let part = &mut self.cold_load_factors[leads];
-            *part = (*part * if late { SHARE_CUT } else { SHARE_RISE })
-                .clamp(least, self.params.max_cold_load_factor);
+        let is_late =
+            result.ending == Ending::Full || spent_ms > LATE_TARGET_SHARE * t.spec.latency_target_ms;
+        if is_cold {
+            let min_factor = MIN_SHARE * self.params.max_cold_load_factor;
+            let share = &mut self.cold_load_factors[role_index];
+            *share = (*share * if is_late { SHARE_CUT } else { SHARE_RISE })
+                .clamp(min_factor, self.params.max_cold_load_factor);
         }
-        if o.is_fallback {
-            self.fallback_ratio = (self.fallback_ratio * if late { SHARE_CUT } else { SHARE_RISE })
+        if send.is_fallback {
+            self.fallback_ratio = (self.fallback_ratio * if is_late { SHARE_CUT } else { SHARE_RISE })
                 .clamp(MIN_SHARE, MAX_FALLBACK_RATIO);
         }
-        let strain = (spent / (CONGESTED_TARGET_SHARE * t.spec.latency_target_ms)).min(5.0);
-        update_average(&mut h.congestion, strain, CONGESTION_SMOOTHING);
-        if back.ending == Ending::Acked && !cold {
-            self.warm_rates[led].add(back.now, t.usual_ms, 0.0, RETENTION_MS);
-        }
-        // An op alone on its host was crowded by nobody from here, but if it is late indeed, by all routers.
-        let alone = load <= o.weight;
-        if alone && leads == 0 && !o.is_fallback {
-            let part = &mut self.groups[op.group].idle_admission_share;
-            *part = (*part * if late { GROUP_SHARE_CUT } else { SHARE_RISE }).clamp(MIN_SHARE, 1.0);
-        }
-        if alone && (late || h.in_flight_limit < MIN_LIMIT) {
-            let step = if h.in_flight_limit > MIN_LIMIT { LIMIT_CUT } else { SHARE_CUT };
-            h.in_flight_limit = (h.in_flight_limit * if late { step } else { SHARE_RISE }).max(MIN_SHARE);
+        let congestion = (spent_ms / (CONGESTED_TARGET_SHARE * t.spec.latency_target_ms)).min(5.0);
+        update_average(&mut h.congestion, congestion, CONGESTION_SMOOTHING);
+        if result.ending == Ending::Acked && !is_cold {
+            self.warm_rates[host_role_index].add(result.now, t.usual_ms, 0.0, RETENTION_MS);
+        }
+        // An op that was alone on its host was not delayed by others of this router; if it is late all the
+        // same, it was by those of all routers.
+        let was_alone = weight_before <= send.weight;
+        if was_alone && role_index == 0 && !send.is_fallback {
+            let share = &mut self.groups[op.group].idle_admission_share;
+            *share = (*share * if is_late { GROUP_SHARE_CUT } else { SHARE_RISE }).clamp(MIN_SHARE, 1.0);
+        }
+        if was_alone && (is_late || h.in_flight_limit < MIN_LIMIT) {
+            let cut = if h.in_flight_limit > MIN_LIMIT { LIMIT_CUT } else { SHARE_CUT };
+            h.in_flight_limit = (h.in_flight_limit * if is_late { cut } else { SHARE_RISE }).max(MIN_SHARE);
             return;
         }
-        let crowded = h.congestion > 1.0 && strain > 1.0 && !alone;
-        if crowded || back.ending == Ending::Full {
-            h.in_flight_limit = (h.in_flight_limit.min(load) * LIMIT_CUT).max(MIN_LIMIT);
-            // What is measured next belongs to the new limit: without this, one jam cuts it to the least.
+        let is_congested = h.congestion > 1.0 && congestion > 1.0 && !was_alone;
+        if is_congested || result.ending == Ending::Full {
+            h.in_flight_limit = (h.in_flight_limit.min(weight_before) * LIMIT_CUT).max(MIN_LIMIT);
+            // Later measurements belong to the new limit; without this, one congestion would cut it to the
+            // floor.
             h.congestion = CONGESTION_AFTER_CUT;
-        } else if back.ending == Ending::Acked && load > 0.7 * h.in_flight_limit {
-            h.in_flight_limit += 2.0 * (1.0 - h.congestion).clamp(0.0, 0.5) * o.weight / h.in_flight_limit;
+        } else if result.ending == Ending::Acked && weight_before > 0.7 * h.in_flight_limit {
+            h.in_flight_limit += 2.0 * (1.0 - h.congestion).clamp(0.0, 0.5) * send.weight / h.in_flight_limit;
         }
     }
 
-    /// The latency average, against what op types usually take. Sends that died count if that raises it.
-    fn update_latency(&mut self, back: &SendResult) {
-        let Op { op_type: kind, group, .. } = *self.ops.get(back.slot);
-        if self.is_long(kind) && !back.ending.cannot_have_run() {
-            let in_time =
-                back.now - back.sent_at <= LATE_TARGET_SHARE * self.op_types[kind].spec.latency_target_ms;
-            let most = self.groups[group].members.len().max(2) as f64 - 1.0;
+    /// Updates a host's latency average, relative to the usual latency of the op type. Unfinished sends count
+    /// if they raise it.
+    fn update_latency(&mut self, result: &SendResult) {
+        let Op { op_type, group, .. } = *self.ops.get(result.slot);
+        if self.is_long(op_type) && !result.ending.cannot_have_run() {
+            let is_in_time = result.now - result.sent_at
+                <= LATE_TARGET_SHARE * self.op_types[op_type].spec.latency_target_ms;
+            let max_replicas = self.groups[group].members.len().max(2) as f64 - 1.0;
             self.long_read_replicas = (self.long_read_replicas
-                * if in_time { LONG_READ_NARROW } else { LONG_READ_WIDEN })
-            .clamp(1.0, most);
-        }
-        let spent = (back.now - back.sent_at) / self.op_types[kind].usual_ms;
-        // A host that errs quickly must not look well: an error counts as an outlier's latency.
-        let erred = matches!(back.ending, Ending::Errored | Ending::Spoilt);
-        let ratio = if erred { spent.max(2.0 * OUTLIER_FACTOR) } else { spent.min(20.0) };
-        let h = &mut self.hosts[back.host];
-        let died = matches!(back.ending, Ending::TimedOut | Ending::Withdrawn | Ending::Reset);
-        if back.ending == Ending::Acked || erred || (died && ratio > h.latency_ratio) {
+                * if is_in_time { LONG_READ_NARROW } else { LONG_READ_WIDEN })
+            .clamp(1.0, max_replicas);
+        }
+        let measured_ratio = (result.now - result.sent_at) / self.op_types[op_type].usual_ms;
+        // A host that fails fast must not look healthy: an error counts as the latency of an outlier.
+        let is_error = matches!(result.ending, Ending::Errored | Ending::Spoilt);
+        let ratio =
+            if is_error { measured_ratio.max(2.0 * OUTLIER_FACTOR) } else { measured_ratio.min(20.0) };
+        let h = &mut self.hosts[result.host];
+        let is_unfinished = matches!(result.ending, Ending::TimedOut | Ending::Withdrawn | Ending::Reset);
+        if result.ending == Ending::Acked || is_error || (is_unfinished && ratio > h.latency_ratio) {
             update_average(
                 &mut h.latency_ratio,
                 ratio,
@@ -982,40 +1124,43 @@
         }
     }
 
-    /// A failed or missed write clears the cached primary, unless this very answer vouches for it.
-    fn update_primary(&mut self, back: &SendResult) {
-        let op = self.ops.get_mut(back.slot);
+    /// A failed or rejected write clears the cached primary, unless the same response confirms the role.
+    fn update_primary(&mut self, result: &SendResult) {
+        let op = self.ops.get_mut(result.slot);
         let t = &self.op_types[op.op_type];
-        let turned_away = matches!(back.ending, Ending::Full | Ending::Unreached);
-        if turned_away && self.hosts[back.host].primary_seen_at > f64::NEG_INFINITY {
-            // Sent again at once, all that a crowded primary turns away would be back in a moment.
-            op.retry_not_before = back.now + 0.5 * t.usual_ms * op.sends.len() as f64;
+        let is_turned_away = matches!(result.ending, Ending::Full | Ending::Unreached);
+        if is_turned_away && self.hosts[result.host].primary_seen_at > f64::NEG_INFINITY {
+            // Sent again at once, all ops that an overloaded primary refuses would return immediately.
+            op.retry_not_before = result.now + 0.5 * t.usual_ms * op.sends.len() as f64;
         }
         if t.spec.consistency != Consistency::Write {
             return;
         }
-        let scout = &mut self.groups[op.group].discovery_write;
-        *scout = scout.filter(|s| *s != back.slot);
-        let h = &mut self.hosts[back.host];
-        // What did not get to the host, or came back spoilt, says nothing of its role.
-        let failed =
-            matches!(back.ending, Ending::Missed | Ending::Errored | Ending::TimedOut | Ending::Reset);
-        if failed && h.primary_seen_at <= back.sent_at {
-            h.clear_primary(back.now);
+        let discovery_write = &mut self.groups[op.group].discovery_write;
+        *discovery_write = discovery_write.filter(|s| *s != result.slot);
+        let h = &mut self.hosts[result.host];
+        // A send that did not reach the host, or an unreadable response, says nothing about its role.
+        let is_role_in_doubt =
+            matches!(result.ending, Ending::Missed | Ending::Errored | Ending::TimedOut | Ending::Reset);
+        if is_role_in_doubt && h.primary_seen_at <= result.sent_at {
+            h.clear_primary(result.now);
         }
     }
 
-    fn learn_send_time(&mut self, back: &SendResult) {
-        let (kind, well) = (self.ops.get(back.slot).op_type, self.hosts[back.host].is_in_rotation());
-        self.op_types[kind].record_send_time(
-            back.now - back.sent_at,
-            back.ending,
-            well,
+    /// Updates the latency statistics of the op type.
+    fn learn_send_time(&mut self, result: &SendResult) {
+        let (op_type, is_in_rotation) =
+            (self.ops.get(result.slot).op_type, self.hosts[result.host].is_in_rotation());
+        self.op_types[op_type].record_send_time(
+            result.now - result.sent_at,
+            result.ending,
+            is_in_rotation,
             USUAL_LATENCY_SMOOTHING,
             LATE_TARGET_SHARE,
         );
     }
 
+    /// Whether a busy reply would be true: a retry of the op is harmless.
     fn may_busy_reply(&self, op: &Op) -> bool {
         match self.op_types[op.op_type].spec.retryability {
             Retryability::Retryable | Retryability::Tokened { anywhere: true, .. } => true,
@@ -1023,7 +1168,7 @@
         }
     }
 
-    /// Until when the op may be sent, by what of it may have run.
+    /// Until when the op may be sent again, given that earlier sends may have run.
     fn retry_deadline(&self, op: &Op) -> f64 {
         match (self.op_types[op.op_type].spec.retryability, op.sends.iter().find(|s| s.may_have_run())) {
             (_, None) | (Retryability::Retryable, _) => f64::INFINITY,
@@ -1032,18 +1177,18 @@
         }
     }
 
-    /// The same, and by how old the host's data may be where it does not look itself.
+    /// The same, and until when the host's data is fresh enough where hosts do not reject stale reads.
     fn send_deadline(&self, op: &Op, host: usize) -> f64 {
-        let (facts, h) = (&self.op_types[op.op_type].spec, &self.hosts[host]);
-        self.retry_deadline(op).min(match facts.consistency {
+        let (spec, h) = (&self.op_types[op.op_type].spec, &self.hosts[host]);
+        self.retry_deadline(op).min(match spec.consistency {
             _ if self.params.hosts_reject_stale_reads || h.is_freshness_exempt => f64::INFINITY,
-            Consistency::Bounded => h.position + facts.staleness_bound_ms,
+            Consistency::Bounded => h.position + spec.staleness_bound_ms,
             _ if h.position >= op.min_position => f64::INFINITY,
             _ => f64::NEG_INFINITY,
         })
     }
 
-    /// True where every rule but the cold budget allows the send.
+    /// Whether all rules other than the cold budget permit the send.
     fn is_allowed(&self, op: &Op, host: usize, now: f64) -> bool {
         let h = &self.hosts[host];
         !op.is_answered
@@ -1056,7 +1201,7 @@
             && now < self.send_deadline(op, host)
     }
 
-    /// The position that the op's data must have.
+    /// The position that a host needs for the op.
     fn required_position(&self, op: &Op, now: f64) -> f64 {
         match self.op_types[op.op_type].spec.consistency {
             Consistency::Bounded => now - self.op_types[op.op_type].spec.staleness_bound_ms,
@@ -1064,85 +1209,94 @@
         }
     }
 
-    /// Cached primary: the member with the latest claim, else the listed one.
+    /// The cached primary: the ready member seen as primary last, else the listed one.
     fn primary_of(&self, group: usize) -> Option<usize> {
-        let ready = |m: &&usize| self.hosts[**m].state == HostState::Ready;
+        let is_ready = |m: &&usize| self.hosts[**m].state == HostState::Ready;
         let members = &self.groups[group].members;
-        let claim = |m: &&usize| self.hosts[**m].primary_seen_at;
-        let best = members.iter().filter(ready).max_by(|a, b| claim(a).total_cmp(&claim(b)));
-        let best = best.filter(|m| claim(m) > f64::NEG_INFINITY);
-        best.or(members.iter().filter(ready).find(|m| self.hosts[**m].is_listed_primary)).copied()
+        let seen_at = |m: &&usize| self.hosts[**m].primary_seen_at;
+        let latest = members.iter().filter(is_ready).max_by(|a, b| seen_at(a).total_cmp(&seen_at(b)));
+        let latest = latest.filter(|m| seen_at(m) > f64::NEG_INFINITY);
+        latest.or(members.iter().filter(is_ready).find(|m| self.hosts[**m].is_listed_primary)).copied()
     }
 
-    /// Something of an op type, against the mean over op types.
+    /// A value of one op type, relative to the mean over all op types.
     fn relative_to_mean(&self, value: f64, of: impl Fn(&OpType) -> f64) -> f64 {
         value * self.op_types.len() as f64 / self.op_types.iter().map(of).sum::<f64>()
     }
 
-    /// A read that any member may answer and that takes long.
-    fn is_long(&self, kind: usize) -> bool {
-        self.op_types[kind].spec.consistency == Consistency::Any
-            && self.relative_weight(kind) > LONG_OP_WEIGHT
+    /// Whether ops of the type are long reads that any member may answer.
+    fn is_long(&self, op_type: usize) -> bool {
+        self.op_types[op_type].spec.consistency == Consistency::Any
+            && self.relative_weight(op_type) > LONG_OP_WEIGHT
     }
 
+    /// The ready members of a group other than the primary.
     fn replicas(&self, group: usize) -> impl Iterator<Item = usize> {
         let primary = self.primary_of(group);
         let members = self.groups[group].members.iter().copied();
         members.filter(move |m| self.hosts[*m].state == HostState::Ready && Some(*m) != primary)
     }
 
-    fn relative_weight(&self, kind: usize) -> f64 {
-        self.relative_to_mean(self.op_types[kind].usual_ms, |t| t.usual_ms).clamp(0.5, 3.0)
+    /// The work of an op type relative to the mean, within limits.
+    fn relative_weight(&self, op_type: usize) -> f64 {
+        self.relative_to_mean(self.op_types[op_type].usual_ms, |t| t.usual_ms).clamp(0.5, 3.0)
     }
 
-    /// Room for one more in flight. A limit under one is the share of ops let through to an idle host.
+    /// Whether a host has room for one more op in flight. An in-flight limit below 1 is the share of ops
+    /// admitted to an idle host.
     fn has_room(&self, now: f64, op: &Op, host: usize) -> bool {
         let h = &self.hosts[host];
-        let worth = self
+        let relative_value = self
             .relative_to_mean(op.value / self.op_types[op.op_type].usual_ms, |t| t.spec.value / t.usual_ms);
-        // A read goes to whichever replica lets it through: what they let through together has a share of its own.
-        let together =
+        // A read goes to whichever replica admits it, so what the replicas admit together has its own share.
+        let group_share =
             if self.role_index(op) == 1 { 1.0 } else { self.groups[op.group].idle_admission_share };
-        let part = h.in_flight_limit.min(together);
-        let alone = h.in_flight.is_empty() && (part >= MIN_LIMIT || op.admission_draw < part * worth);
-        let fits = h.in_flight_limit > MIN_LIMIT
+        let admitted_share = h.in_flight_limit.min(group_share);
+        let is_admitted_idle = h.in_flight.is_empty()
+            && (admitted_share >= MIN_LIMIT || op.admission_draw < admitted_share * relative_value);
+        let fits_limit = h.in_flight_limit > MIN_LIMIT
             && h.in_flight_weight + self.relative_weight(op.op_type) <= h.in_flight_limit;
-        // Where connections are dear, an op rather waits for an open one than for a new one.
-        let open = now >= self.slow_connect_until || h.idle_connections() > 0 || h.in_flight.is_empty();
-        !h.is_unresponsive && open && (alone || fits) && self.fits_cold_budget(now, op, host)
+        // While connections are slow to open, an op waits for an open one rather than for a new one.
+        let has_connection =
+            now >= self.slow_connect_until || h.idle_connections() > 0 || h.in_flight.is_empty();
+        !h.is_unresponsive
+            && has_connection
+            && (is_admitted_idle || fits_limit)
+            && self.fits_cold_budget(now, op, host)
     }
 
-    /// Least possible part of its capacity that a host has by now.
+    /// The smallest share of its full capacity that a host can have by now, given its start.
     fn warm_fraction(&self, now: f64, host: usize) -> f64 {
-        let age = (now - self.hosts[host].started_at).max(0.0);
+        let age_ms = (now - self.hosts[host].started_at).max(0.0);
         (self.params.cold_capacity_share
-            + (1.0 - self.params.cold_capacity_share) * age / self.params.warmup_ms)
+            + (1.0 - self.params.cold_capacity_share) * age_ms / self.params.warmup_ms)
             .min(1.0)
     }
 
-    /// Work a ms that a warm host of its size does for this router, as a replica or as a primary.
+    /// Work per ms that a warm host of the same capacity does for this router, as a replica or as a primary.
     fn warm_work_per_ms(&self, host: usize) -> f64 {
         self.hosts[host].capacity * self.warm_rates[0].per_ms().max(self.warm_rates[1].per_ms())
     }
 
-    /// Cold budget: this router's part is judged by what it sends to warm hosts of like size. Where that is
-    /// less than an op, as with hundreds of routers, chance lets through what it is of all that they bring.
+    /// Whether the op fits the cold budget. This router's share of the budget is estimated from what it sends
+    /// to warm hosts of the same capacity. Where that is less than one op, as with hundreds of routers, ops
+    /// are admitted at random, at the ratio of the budget to the demand of all routers.
     fn fits_cold_budget(&self, now: f64, op: &Op, host: usize) -> bool {
-        let (warmth, h, usual) =
+        let (warm_fraction, h, usual_ms) =
             (self.warm_fraction(now, host), &self.hosts[host], self.op_types[op.op_type].usual_ms);
-        let recent = h.recent_work(now - self.params.overload_window_ms);
-        let budget = self.params.cold_budget_multiple
-            * warmth
+        let recent_work_ms = h.recent_work(now - self.params.overload_window_ms);
+        let budget_ms = self.params.cold_budget_multiple
+            * warm_fraction
             * self.warm_work_per_ms(host)
             * self.params.overload_window_ms;
-        warmth >= 1.0
-            || recent + usual <= budget
-            || (recent < THIN_DEMAND_OPS * usual
+        warm_fraction >= 1.0
+            || recent_work_ms + usual_ms <= budget_ms
+            || (recent_work_ms < THIN_DEMAND_OPS * usual_ms
                 && op.admission_draw * self.demand_ratio(now, op, host)
-                    < self.cold_load_factors[self.role_index(op)] * warmth)
+                    < self.cold_load_factors[self.role_index(op)] * warm_fraction)
     }
 
-    /// 1 for what must go to the primary, 0 for other reads.
+    /// 1 for ops that must go to the primary, 0 for other reads; indexes the pairs kept per role.
     fn role_index(&self, op: &Op) -> usize {
         usize::from(matches!(
             self.op_types[op.op_type].spec.consistency,
@@ -1150,38 +1304,50 @@
         ))
     }
 
-    /// What ops like this bring to the host from here, against what a warm one would be asked for here if all
-    /// tenants used their shares. One group is asked too seldom to judge by it alone.
+    /// This router's demand on the host by ops of this role, relative to the demand on a warm host if all
+    /// tenants used their full shares. At least the mean over all groups counts, as one group alone has too
+    /// few ops.
     fn demand_ratio(&self, now: f64, op: &Op, host: usize) -> f64 {
-        let (group, groups, leads) = (&self.groups[op.group], self.groups.len() as f64, self.role_index(op));
-        let asked = group.demand[leads].per_ms().max(self.demand.rates[leads].per_ms() / groups);
+        let (group, groups, role_index) =
+            (&self.groups[op.group], self.groups.len() as f64, self.role_index(op));
+        let demand_per_ms =
+            group.demand[role_index].per_ms().max(self.demand.rates[role_index].per_ms() / groups);
         let replicas = || self.replicas(op.group);
-        let places: f64 =
+        let warm_replicas: f64 =
             replicas().filter(|m| self.hosts[*m].is_in_rotation()).map(|m| self.warm_fraction(now, m)).sum();
-        let (part, parts) = match leads == 1 {
+        let (host_share, replica_count) = match role_index == 1 {
             true => (1.0, 1.0),
-            // A cold primary has no room for reads that are let through by chance.
+            // A cold primary has no room for reads that are admitted at random.
             false if self.primary_of(op.group) == Some(host) => return f64::INFINITY,
-            false => (self.warm_fraction(now, host) / places.max(0.01), replicas().count() as f64),
+            false => (self.warm_fraction(now, host) / warm_replicas.max(0.01), replicas().count() as f64),
         };
-        let built_for =
-            self.params.quota_ops_per_ms * self.demand.mean_first_try_work(leads) / groups / parts;
-        let full = if built_for > 0.0 { built_for } else { self.warm_work_per_ms(host) };
-        if full > 0.0 && asked > 0.0 { asked * part / full } else { part * parts }
+        let quota_work_per_ms = self.params.quota_ops_per_ms * self.demand.mean_first_try_work(role_index)
+            / groups
+            / replica_count;
+        let full_work_per_ms =
+            if quota_work_per_ms > 0.0 { quota_work_per_ms } else { self.warm_work_per_ms(host) };
+        if full_work_per_ms > 0.0 && demand_per_ms > 0.0 {
+            demand_per_ms * host_share / full_work_per_ms
+        } else {
+            host_share * replica_count
+        }
     }
 
-    pub fn tick(&mut self, now: f64, out: &mut dyn Outbox) {
+    /// Does the periodic work: polls the list, checks hosts, retries held ops and gives up those past their
+    /// deadline.
+    pub fn tick(&mut self, now: f64, outbox: &mut dyn Outbox) {
         self.now = now;
-        out.wake_after(self.params.tick_ms);
+        outbox.wake_after(self.params.tick_ms);
         if now >= self.poll_list_at {
-            self.poll_list(now, out);
+            self.poll_list(now, outbox);
         }
-        self.evaluate_hosts(now, out);
-        // With hundreds of routers most beats find nothing to do: what has nothing out and nobody waiting is passed.
+        self.evaluate_hosts(now, outbox);
+        // With hundreds of routers most ticks find nothing to do: hosts with nothing in flight and groups
+        // with no held ops are skipped.
         for host in 0..self.hosts.len() {
             self.hosts[host].is_unresponsive &= self.params.may_probe || now < self.hosts[host].next_trial_at;
             if !self.hosts[host].in_flight.is_empty() {
-                self.detect_lost_sends(now, out, host);
+                self.detect_lost_sends(now, outbox, host);
             }
         }
         for group in 0..self.groups.len() {
@@ -1189,68 +1355,68 @@
             {
                 continue;
             }
-            let lost = self.primary_of(group).is_none();
-            if let Some(line) = self.groups[group].record_primary_known(now, lost) {
-                out.log(&format!("group {group} {line}"));
+            let is_unknown = self.primary_of(group).is_none();
+            if let Some(line) = self.groups[group].record_primary_known(now, is_unknown) {
+                outbox.log(&format!("group {group} {line}"));
             }
-            self.retry_held(now, out, group, true);
+            self.retry_held(now, outbox, group, true);
         }
         for slot in 0..self.ops.slots.len() {
             let Some(op) = &self.ops.slots[slot] else { continue };
-            // Just before the target: what ends unserved after it costs more.
-            let lost = op.sends.last().is_some_and(|s| s.is_lost && s.ending.is_none());
-            let useless = lost || self.op_types[op.op_type].spec.late_value == 0.0;
-            let late = now + self.params.tick_ms >= op.target_at && useless;
-            if !op.is_answered && (late || now >= op.give_up_at) {
-                self.give_up(now, out, slot);
+            // Given up just before the target: an op that fails after it costs more.
+            let is_lost = op.sends.last().is_some_and(|s| s.is_lost && s.ending.is_none());
+            let is_worthless_late = is_lost || self.op_types[op.op_type].spec.late_value == 0.0;
+            let is_late = now + self.params.tick_ms >= op.target_at && is_worthless_late;
+            if !op.is_answered && (is_late || now >= op.give_up_at) {
+                self.give_up(now, outbox, slot);
             }
         }
     }
 
-    /// Ejects outliers and lets them back; once a second notes what each host gets done.
-    fn evaluate_hosts(&mut self, now: f64, out: &mut dyn Outbox) {
+    /// Ejects outliers and returns them to the rotation; once a second updates the work rates.
+    fn evaluate_hosts(&mut self, now: f64, outbox: &mut dyn Outbox) {
         if now - self.rates_updated_at >= SECOND_MS {
-            let span = now - std::mem::replace(&mut self.rates_updated_at, now);
+            let elapsed_ms = now - std::mem::replace(&mut self.rates_updated_at, now);
             for h in &mut self.hosts {
-                // What was seen of an idle host gets old, the more so where few ops go there.
+                // What is known about an idle host becomes stale, all the more where it gets few ops.
                 h.in_flight_limit *= if h.in_flight_limit < MIN_LIMIT { IDLE_SHARE_RECOVERY } else { 1.0 };
             }
-            // The mean of what warm hosts do from here; with under an op for each the median was nothing.
-            let warm =
+            // The mean work of warm hosts, not the median: with less than one op per host the median is 0.
+            let is_warm =
                 |m: &usize| self.hosts[*m].state == HostState::Ready && self.warm_fraction(now, *m) >= 1.0;
-            for m in (0..self.hosts.len()).filter(warm).collect::<Vec<_>>() {
-                let led = usize::from(self.primary_of(self.hosts[m].group) == Some(m));
-                self.warm_rates[led].add(now, 0.0, self.hosts[m].capacity * span, RETENTION_MS);
+            for m in (0..self.hosts.len()).filter(is_warm).collect::<Vec<_>>() {
+                let role_index = usize::from(self.primary_of(self.hosts[m].group) == Some(m));
+                self.warm_rates[role_index].add(now, 0.0, self.hosts[m].capacity * elapsed_ms, RETENTION_MS);
             }
             self.groups
                 .iter_mut()
                 .flat_map(|g| &mut g.demand)
-                .for_each(|a| a.add(now, 0.0, span, RETENTION_MS));
-            self.demand.rates.iter_mut().for_each(|a| a.add(now, 0.0, span, DEMAND_WINDOW_MS));
+                .for_each(|rate| rate.add(now, 0.0, elapsed_ms, RETENTION_MS));
+            self.demand.rates.iter_mut().for_each(|rate| rate.add(now, 0.0, elapsed_ms, DEMAND_WINDOW_MS));
         }
         if !std::mem::take(&mut self.is_outlier_check_due) {
             return;
         }
-        let counted = |h: &&Host| {
+        let is_counted = |h: &&Host| {
             h.state == HostState::Ready && h.latency_samples >= MIN_LATENCY_SAMPLES && !h.is_unresponsive
         };
-        let fleet =
-            median(self.hosts.iter().filter(counted).map(|h| h.latency_ratio).collect()).unwrap_or(1.0);
+        let fleet_median =
+            median(self.hosts.iter().filter(is_counted).map(|h| h.latency_ratio).collect()).unwrap_or(1.0);
         for group in 0..self.groups.len() {
             let members = &self.groups[group].members;
-            let lats =
-                members.iter().map(|m| &self.hosts[*m]).filter(counted).map(|h| h.latency_ratio).collect();
-            // Two slow members of three lift their group's median; the fleet's still tells.
-            let base = median(lats).unwrap_or(1.0).min(fleet);
+            let latency_ratios =
+                members.iter().map(|m| &self.hosts[*m]).filter(is_counted).map(|h| h.latency_ratio).collect();
+            // Two slow members of three raise their group's median; the fleet's median still exposes them.
+            let baseline = median(latency_ratios).unwrap_or(1.0).min(fleet_median);
             for m in members.clone() {
                 let h = &mut self.hosts[m];
-                let outlier =
-                    h.latency_samples >= MIN_LATENCY_SAMPLES && h.latency_ratio > OUTLIER_FACTOR * base;
-                if outlier != h.is_ejected {
-                    (h.is_ejected, h.next_trial_at) = (outlier, now + PROBE_INTERVAL_MS);
-                    let what = if outlier { "ejected" } else { "back in rotation" };
-                    out.log(&format!(
-                        "host {m} {what}: {:.2} against a median of {base:.2}",
+                let is_outlier =
+                    h.latency_samples >= MIN_LATENCY_SAMPLES && h.latency_ratio > OUTLIER_FACTOR * baseline;
+                if is_outlier != h.is_ejected {
+                    (h.is_ejected, h.next_trial_at) = (is_outlier, now + PROBE_INTERVAL_MS);
+                    let change = if is_outlier { "ejected" } else { "back in rotation" };
+                    outbox.log(&format!(
+                        "host {m} {change}: {:.2} against a median of {baseline:.2}",
                         h.latency_ratio
                     ));
                 }
@@ -1258,67 +1424,73 @@
         }
     }
 
-    /// Marks sends as lost that later ones overtook or whose host is out of contact, and moves their ops on.
-    fn detect_lost_sends(&mut self, now: f64, out: &mut dyn Outbox, host: usize) {
+    /// Marks sends as lost that were overtaken or whose host is unresponsive, and retries their ops
+    /// elsewhere.
+    fn detect_lost_sends(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize) {
         let h = &mut self.hosts[host];
-        let slow = h.latency_ratio.max(1.0);
-        let late = |o: &InFlightSend| now - o.sent_at > LOST_SEND_FACTOR * o.usual_ms * slow;
-        // Late sends are lost even where the host answers others: they take no room.
-        let silent = h.is_unresponsive;
-        let lost = |o: &InFlightSend| late(o) && o.sent_at < h.last_response_at;
-        let gone: Vec<InFlightSend> = h.in_flight.iter().filter(|o| silent || lost(o)).cloned().collect();
-        h.in_flight_weight = h.in_flight.iter().filter(|o| !lost(o)).map(|o| o.weight).sum();
-        for o in gone.into_iter().filter(|o| now - o.sent_at > o.usual_ms) {
-            let op = self.ops.get_mut(o.op_slot);
-            op.sends[o.send_index].is_lost = true;
-            // A scout stuck on a host that answers nothing must not keep the others from looking.
-            let scout = &mut self.groups[op.group].discovery_write;
-            *scout = scout.filter(|s| *s != o.op_slot);
-            let op = self.ops.get(o.op_slot);
-            let facts = &self.op_types[op.op_type].spec;
-            let led = self.primary_of(op.group).is_some_and(|p| !self.hosts[p].is_unresponsive);
-            let movable =
-                !op.is_answered && !op.sends[o.send_index].is_withdrawn && now < self.retry_deadline(op);
-            let moves = movable && (facts.consistency != Consistency::Write || led);
-            if moves
+        let slowdown = h.latency_ratio.max(1.0);
+        let is_late = |send: &InFlightSend| now - send.sent_at > LOST_SEND_FACTOR * send.usual_ms * slowdown;
+        // Late sends are lost even where the host answers others; they no longer count towards its limit.
+        let is_unresponsive = h.is_unresponsive;
+        let is_overtaken = |send: &InFlightSend| is_late(send) && send.sent_at < h.last_response_at;
+        let lost_sends: Vec<InFlightSend> =
+            h.in_flight.iter().filter(|send| is_unresponsive || is_overtaken(send)).cloned().collect();
+        h.in_flight_weight =
+            h.in_flight.iter().filter(|send| !is_overtaken(send)).map(|send| send.weight).sum();
+        for send in lost_sends.into_iter().filter(|send| now - send.sent_at > send.usual_ms) {
+            let op = self.ops.get_mut(send.op_slot);
+            op.sends[send.send_index].is_lost = true;
+            // A write stuck on an unresponsive host must not keep others from searching for the primary.
+            let discovery_write = &mut self.groups[op.group].discovery_write;
+            *discovery_write = discovery_write.filter(|s| *s != send.op_slot);
+            let op = self.ops.get(send.op_slot);
+            let spec = &self.op_types[op.op_type].spec;
+            let has_primary = self.primary_of(op.group).is_some_and(|p| !self.hosts[p].is_unresponsive);
+            let may_retry =
+                !op.is_answered && !op.sends[send.send_index].is_withdrawn && now < self.retry_deadline(op);
+            let should_retry = may_retry && (spec.consistency != Consistency::Write || has_primary);
+            if should_retry
                 && self.params.max_outstanding_sends > 1
                 && op.outstanding() == 1
-                && facts.retryability == Retryability::Retryable
+                && spec.retryability == Retryability::Retryable
             {
-                self.route_op(now, out, o.op_slot);
-            } else if moves && self.params.max_outstanding_sends == 1 {
-                self.withdraw_send(o.op_slot, o.send_index, out);
+                self.route_op(now, outbox, send.op_slot);
+            } else if should_retry && self.params.max_outstanding_sends == 1 {
+                self.withdraw_send(send.op_slot, send.send_index, outbox);
             }
         }
     }
 
-    fn probe_host(&mut self, now: f64, out: &mut dyn Outbox, host: usize) {
+    /// Probes a host, or sets it aside where probes are not permitted.
+    fn probe_host(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize) {
         let h = &mut self.hosts[host];
         if !self.params.may_probe {
-            self.mark_unresponsive(now, out, host, "contact failed");
-            // No probe will tell when it is back: an op tries it, after a while.
+            self.mark_unresponsive(now, outbox, host, "contact failed");
+            // No probe will show when it is back; an op tries it after a while.
             let h = &mut self.hosts[host];
             h.next_trial_at =
                 now + (0.5 * (now - h.down_since)).clamp(PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS);
         } else if !h.is_probe_in_flight {
             (h.is_probe_in_flight, h.last_probe_at) = (true, now);
-            out.probe(host);
+            outbox.probe(host);
         }
     }
 
-    /// Ops have hosts probed whose last word or probe is not recent: probes then cost as ops do, not hosts.
+    /// Whether an op may have the host probed: its last report or probe is not recent. The number of probes
+    /// thus grows with the ops, not with the hosts.
     fn may_probe_host(&self, now: f64, host: usize) -> bool {
         let h = &self.hosts[host];
-        // What is known to be far behind, or has long been down, won't be back before long.
-        let led = self.groups[h.group].no_primary_since == f64::INFINITY;
-        let away = if h.down_since < f64::INFINITY { now - h.down_since } else { h.position_at - h.position };
-        let gap = if led {
-            (0.5 * away).clamp(PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS)
+        // A host that is far behind, or has been down for long, will not be back soon.
+        let has_primary = self.groups[h.group].no_primary_since == f64::INFINITY;
+        let outage_ms =
+            if h.down_since < f64::INFINITY { now - h.down_since } else { h.position_at - h.position };
+        let interval_ms = if has_primary {
+            (0.5 * outage_ms).clamp(PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS)
         } else {
             PROBE_INTERVAL_MS / 2.0
         };
-        let due = h.last_probe_at.max(h.position_at) + gap;
-        self.params.may_probe && h.state == HostState::Ready && !h.is_probe_in_flight && now >= due
+        let due_at = h.last_probe_at.max(h.position_at) + interval_ms;
+        self.params.may_probe && h.state == HostState::Ready && !h.is_probe_in_flight && now >= due_at
     }
 }
 
