--- a/src/policy.rs
+++ b/src/policy.rs
@@ -40,11 +40,13 @@
 //! 5. Load control: the in-flight limit of a host, the shares of ops admitted to an idle host and to a
 //!    group's idle replicas, and the shares of reads that fall back to a primary or leave the router's zone
 //!    all follow how many answers arrive in time. Ops that find no room are held briefly and then shed, as is
-//!    the share that exceeds the router's own processor time. Retries are dated by their time of arrival or
-//!    by their client timeout, and are not sent after the latency target of their first try.
-//! 6. Cold budget: a host that warms up gets no more work than the smallest capacity it can have by then, and
-//!    only ops for which it is next in the rotation. Where one router's share of that is less than one op,
-//!    ops are admitted at random, so that all routers together keep within the budget.
+//!    the share that exceeds the router's own processor time. For a retry, the arrival of its first try is
+//!    estimated from its own time of arrival or from its client timeout; it is not sent after the latency
+//!    target of that first try.
+//! 6. Cold budget: a host that warms up gets no more work than the smallest capacity it can have by then.
+//!    Where no tenant rates are given, it gets only ops for which it is next in the rotation. Where one
+//!    router's share of the budget is less than one op, ops are admitted at random, so that all routers
+//!    together keep within it.
 
 use crate::state::{
     self, Demand, Group, Host, InFlightSend, Op, OpTable, OpType, PolicyParams, Random, Rate, RecentEvent,
@@ -199,6 +201,7 @@
 }
 
 impl Policy {
+    /// Creates the policy and requests the host list and the first tick.
     pub fn new(options: PolicyOptions, seed: u64, now: f64, outbox: &mut dyn Outbox) -> Policy {
         let tick_ms = options.tick_ms.max(5.0);
         let tenant_share = |rate: &f64| TenantShare {
@@ -259,6 +262,8 @@
         self.admission = (share, retry_after_ms);
     }
 
+    /// Requests the host list where it must be polled; schedules the next request in case no response
+    /// arrives.
     fn poll_list(&mut self, now: f64, outbox: &mut dyn Outbox) {
         if let Some(interval_ms) = self.params.list_poll_interval_ms {
             outbox.watch_host_list();
@@ -273,7 +278,7 @@
         (self.is_list_full, self.list_revision) = (is_full, self.list_revision + 1);
     }
 
-    /// Takes over the list entry of one host.
+    /// Applies the list entry of one host.
     pub fn host_listed(&mut self, now: f64, host: usize, entry: HostEntry) {
         let HostEntry { group, state, capacity, started_at, primary, zone } = entry;
         while self.hosts.len() <= host {
@@ -282,21 +287,24 @@
             self.hosts.push(Host { rotation_position, ..Host::new(usize::MAX, self.params.initial_limit) });
         }
         state::assign_group(&mut self.groups, &mut self.hosts[host], host, group);
-        let h = &mut self.hosts[host];
-        (h.list_revision, h.zone) = (self.list_revision, zone);
-        h.capacity = if capacity.is_finite() && capacity > 0.0 { capacity } else { h.capacity };
-        h.record_start(started_at, self.params.initial_limit);
+        let record = &mut self.hosts[host];
+        (record.list_revision, record.zone) = (self.list_revision, zone);
+        record.capacity = if capacity.is_finite() && capacity > 0.0 { capacity } else { record.capacity };
+        record.record_start(started_at, self.params.initial_limit);
         // Where "gone" is not binding it proves nothing either: contact shows whether the host is up.
-        let is_assumed_ready = state == HostState::Gone && !self.params.gone_is_binding && !h.has_drained;
+        let is_assumed_ready =
+            state == HostState::Gone && !self.params.gone_is_binding && !record.has_drained;
         let state = if is_assumed_ready { HostState::Ready } else { state };
-        h.unready_since = if state == HostState::Ready { f64::INFINITY } else { h.unready_since.min(now) };
-        h.state = state;
-        h.has_drained = state == HostState::Draining || (h.has_drained && state == HostState::Gone);
-        h.is_listed_primary = primary;
-        h.is_freshness_exempt |= primary && h.replica_seen_at == f64::NEG_INFINITY;
+        record.unready_since =
+            if state == HostState::Ready { f64::INFINITY } else { record.unready_since.min(now) };
+        record.state = state;
+        record.has_drained = state == HostState::Draining || (record.has_drained && state == HostState::Gone);
+        record.is_listed_primary = primary;
+        record.is_freshness_exempt |= primary && record.replica_seen_at == f64::NEG_INFINITY;
     }
 
-    /// Ends a list response. After a full list, hosts that it does not name are gone.
+    /// Ends a list response. After a full list, hosts that it does not name are gone, where gone is binding
+    /// or they have drained.
     pub fn list_ended(&mut self, now: f64, outbox: &mut dyn Outbox) {
         self.is_outlier_check_due = true;
         let is_unlisted = |h: &&mut Host| self.is_list_full && h.list_revision != self.list_revision;
@@ -316,9 +324,9 @@
 
     /// Releases the record of a host that has long been gone. True where the host's index may be reused.
     pub fn release_host(&mut self, now: f64, host: usize) -> bool {
-        let (h, initial_limit) = (&self.hosts[host], self.params.initial_limit);
+        let (record, initial_limit) = (&self.hosts[host], self.params.initial_limit);
         let is_releasable =
-            now - h.unready_since > RETENTION_MS && state::is_host_releasable(&self.ops, h, host);
+            now - record.unready_since > RETENTION_MS && state::is_host_releasable(&self.ops, record, host);
         is_releasable && state::reset_host(&mut self.groups, &mut self.hosts, host, initial_limit)
     }
 
@@ -328,7 +336,7 @@
         self.poll_list_at = now + SECOND_MS * (0.5 + self.random.next_f64());
     }
 
-    /// Takes over a host's role and position, from a response (current) or from a report (some time old).
+    /// Applies a host's role and position, from a response (current) or from a report (some time old).
     pub fn host_reported(
         &mut self,
         now: f64,
@@ -392,12 +400,13 @@
         self.retry_held(now, outbox, group, false);
     }
 
-    /// Takes over a report of another router: a hint at the primary, a replica's lag, or a reason to probe.
+    /// Applies a report of another router: a hint at the primary, a replica's lag, or a reason to probe.
     /// It never proves that a host is fresh or healthy.
     pub fn peer_reported(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize, report: PeerReport) {
-        let (hosts_reject_stale_reads, h) = (self.params.hosts_reject_stale_reads, &mut self.hosts[host]);
-        if h.record_peer_report(now, report, hosts_reject_stale_reads)
-            && h.last_response_at < now - PROBE_INTERVAL_MS
+        let (hosts_reject_stale_reads, record) =
+            (self.params.hosts_reject_stale_reads, &mut self.hosts[host]);
+        if record.record_peer_report(now, report, hosts_reject_stale_reads)
+            && record.last_response_at < now - PROBE_INTERVAL_MS
             && self.may_probe_host(now, host)
         {
             self.probe_host(now, outbox, host);
@@ -406,24 +415,25 @@
 
     /// The host has responded. After a loss of contact of more than a second it counts as restarted.
     fn record_contact(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize) {
-        let h = &mut self.hosts[host];
-        h.last_response_at = now;
-        if now - h.down_since > SECOND_MS && h.started_at < h.down_since {
-            h.started_at = now;
-        }
-        h.down_since = f64::INFINITY;
-        if h.is_unresponsive {
-            h.is_unresponsive = false;
+        let record = &mut self.hosts[host];
+        record.last_response_at = now;
+        if now - record.down_since > SECOND_MS && record.started_at < record.down_since {
+            record.started_at = now;
+        }
+        record.down_since = f64::INFINITY;
+        if record.is_unresponsive {
+            record.is_unresponsive = false;
             outbox.log(&format!("host {host} answers again"));
         }
     }
 
     /// Sets a host aside until it responds again.
     fn mark_unresponsive(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize, reason: &str) {
-        let h = &mut self.hosts[host];
-        h.down_since = h.down_since.min(now);
-        if !std::mem::replace(&mut h.is_unresponsive, true) {
-            outbox.log(&format!("host {host} set aside: {reason}, {} sends in flight", h.in_flight.len()));
+        let record = &mut self.hosts[host];
+        record.down_since = record.down_since.min(now);
+        if !std::mem::replace(&mut record.is_unresponsive, true) {
+            outbox
+                .log(&format!("host {host} set aside: {reason}, {} sends in flight", record.in_flight.len()));
             outbox.contact_lost(host);
         }
     }
@@ -444,16 +454,19 @@
         } = op;
         state::ensure_group(&mut self.groups, group);
         let is_over_share = self.tenant_shares.get_mut(tenant).is_some_and(|s| s.charge(now));
-        let t = &mut self.op_types[op_type];
-        let client_timeout_ms =
-            if client_timeout_ms.is_finite() { client_timeout_ms.max(0.0) } else { t.spec.latency_target_ms };
+        let stats = &mut self.op_types[op_type];
+        let client_timeout_ms = if client_timeout_ms.is_finite() {
+            client_timeout_ms.max(0.0)
+        } else {
+            stats.spec.latency_target_ms
+        };
         // First tries share the most frequent client timeout. A different one is what remains of the op
         // timeout for the last try, which dates the first try: after the latency target of that one, the op
         // is not worth sending. Where clients do not mark retries, only as many ops are dated as were given
         // up recently, so that clients that have merely shortened their timeout are served.
-        (t.recent_give_ups, t.recent_give_ups_at) =
-            (t.recent_give_ups * 0.5f64.powf((now - t.recent_give_ups_at) / op_timeout_ms), now);
-        let is_usual_timeout = t.client_timeout.observe(
+        (stats.recent_give_ups, stats.recent_give_ups_at) =
+            (stats.recent_give_ups * 0.5f64.powf((now - stats.recent_give_ups_at) / op_timeout_ms), now);
+        let is_usual_timeout = stats.client_timeout.observe(
             client_timeout_ms,
             TIMEOUT_TOLERANCE * op_timeout_ms,
             is_retry != Some(true),
@@ -461,8 +474,8 @@
         let is_likely_first_try = is_usual_timeout || is_retry == Some(false);
         // Where clients retry at the router that gave up their op, the time of arrival identifies the first
         // try.
-        t.arrivals.add(now, 1.0, DEMAND_WINDOW_MS);
-        let arrivals_per_ms = t.arrivals.value / DEMAND_WINDOW_MS / self.groups.len() as f64;
+        stats.arrivals.add(now, 1.0, DEMAND_WINDOW_MS);
+        let arrivals_per_ms = stats.arrivals.value / DEMAND_WINDOW_MS / self.groups.len() as f64;
         let matched_first_try = self.retry_matcher.match_retry(
             now,
             (op_type, group),
@@ -471,16 +484,16 @@
             self.params.tick_ms,
         );
         let is_dated_by_timeout = !is_likely_first_try
-            && t.client_timeout.votes >= MIN_TIMEOUT_VOTES
-            && (is_retry.is_some() || t.recent_give_ups >= 1.0);
+            && stats.client_timeout.votes >= MIN_TIMEOUT_VOTES
+            && (is_retry.is_some() || stats.recent_give_ups >= 1.0);
         if is_dated_by_timeout && is_retry.is_none() {
-            t.recent_give_ups -= 1.0;
+            stats.recent_give_ups -= 1.0;
         }
-        let default_age_ms = if is_retry == Some(true) { t.give_up_age_ms } else { 0.0 };
+        let default_age_ms = if is_retry == Some(true) { stats.give_up_age_ms } else { 0.0 };
         let age_ms =
             if is_dated_by_timeout { (op_timeout_ms - client_timeout_ms).max(0.0) } else { default_age_ms };
         let age_ms = matched_first_try.map_or(age_ms, |first_try_at| now - first_try_at);
-        let min_position = match t.spec.consistency {
+        let min_position = match stats.spec.consistency {
             Consistency::Fresh => now,
             Consistency::Session => {
                 // The commit time was rounded up and positions are rounded down: 1 ms more covers both.
@@ -503,10 +516,11 @@
             session,
             arrived_at: now,
             first_try_at: now - age_ms,
-            target_at: now + (t.spec.latency_target_ms + extra_latency_ms - age_ms).min(client_timeout_ms),
+            target_at: now
+                + (stats.spec.latency_target_ms + extra_latency_ms - age_ms).min(client_timeout_ms),
             give_up_at: now + client_timeout_ms - self.params.reply_margin_ms,
             min_position,
-            value: t.spec.value * if is_over_share { self.params.over_share_value } else { 1.0 },
+            value: stats.spec.value * if is_over_share { self.params.over_share_value } else { 1.0 },
             is_over_share,
             admission_draw,
             is_first_try: age_ms == 0.0,
@@ -573,13 +587,13 @@
             self.close_op(slot, outbox);
         }
         // Where hosts accept few connections, an idle one keeps other routers from connecting.
-        let h = &mut self.hosts[result.host];
+        let record = &mut self.hosts[result.host];
         if now < self.scarce_connections_until
             && now >= self.slow_connect_until
-            && h.in_flight.is_empty()
-            && h.open_connections > 0
+            && record.in_flight.is_empty()
+            && record.open_connections > 0
         {
-            h.open_connections = 0;
+            record.open_connections = 0;
             outbox.close_idle_connections(result.host);
         }
         let op = self.ops.get(slot);
@@ -600,8 +614,8 @@
         let mut held_ops = std::mem::take(&mut self.groups[group].held_ops);
         let value_per_work = |slot: &usize| {
             let op = self.ops.get(*slot);
-            let t = &self.op_types[op.op_type];
-            op.value * if now > op.target_at { t.spec.late_value } else { 1.0 } / t.usual_ms
+            let stats = &self.op_types[op.op_type];
+            op.value * if now > op.target_at { stats.spec.late_value } else { 1.0 } / stats.usual_ms
         };
         held_ops.sort_by(|a, b| value_per_work(b).total_cmp(&value_per_work(a)));
         let mut is_blocked = vec![false; self.op_types.len()];
@@ -659,8 +673,8 @@
             self.groups[group].primary_work.add(now, usual_ms, RETENTION_MS);
         }
         let warm_fraction = self.warm_fraction(now, host);
-        let h = &mut self.hosts[host];
-        h.in_flight.push(InFlightSend {
+        let record = &mut self.hosts[host];
+        record.in_flight.push(InFlightSend {
             op_slot: slot,
             send_index,
             sent_at: now,
@@ -669,13 +683,14 @@
             is_fallback: attempt.is_fallback,
             opens_connection,
         });
-        h.in_flight_weight += weight;
+        record.in_flight_weight += weight;
         // A host is next in the rotation in proportion to its present capacity.
-        h.rotation_position += weight / (h.capacity * warm_fraction);
+        record.rotation_position += weight / (record.capacity * warm_fraction);
         if warm_fraction < 1.0 {
-            h.record_work(now, usual_ms, now - self.params.overload_window_ms);
+            record.record_work(now, usual_ms, now - self.params.overload_window_ms);
         }
-        h.next_trial_at = if attempt.is_trial { now + 2.0 * PROBE_INTERVAL_MS } else { h.next_trial_at };
+        record.next_trial_at =
+            if attempt.is_trial { now + 2.0 * PROBE_INTERVAL_MS } else { record.next_trial_at };
         outbox.send(self.ops.get(slot).id, host, begin_by);
     }
 
@@ -683,11 +698,11 @@
     /// reply.
     fn give_up(&mut self, now: f64, outbox: &mut dyn Outbox, slot: usize) {
         let op = self.ops.get(slot);
-        let t = &mut self.op_types[op.op_type];
+        let stats = &mut self.op_types[op.op_type];
         if op.is_first_try {
-            update_average(&mut t.give_up_age_ms, now - op.arrived_at, LATENCY_SMOOTHING);
+            update_average(&mut stats.give_up_age_ms, now - op.arrived_at, LATENCY_SMOOTHING);
             // Counted twice, as the count decays and some clients retry at other routers.
-            t.recent_give_ups += 2.0;
+            stats.recent_give_ups += 2.0;
         }
         let has_no_primary = self.groups[op.group].no_primary_since < f64::INFINITY;
         // Outstanding sends are withdrawn first: one whose connection is still opening would leave after the
@@ -733,22 +748,22 @@
         }
     }
 
-    // ---- stages on the way to a host
+    // Stages on the way to a host.
 
     /// Rejects ops that can no longer be answered usefully, may not be sent again, or exceed the admitted
     /// share.
     fn admit(&mut self, attempt: &mut SendAttempt) -> StageOutcome {
         let op = self.ops.get(attempt.slot);
-        let t = &self.op_types[op.op_type];
+        let stats = &self.op_types[op.op_type];
         let is_exhausted = attempt.now >= op.give_up_at || op.sends.len() >= self.params.max_sends;
         let (admitted_share, is_new) = (self.admission.0, op.sends.is_empty());
         let is_admitted = admitted_share >= 1.0
-            || op.admission_draw < admitted_share * self.relative_to_mean(op.value, |t| t.spec.value);
+            || op.admission_draw < admitted_share * self.relative_to_mean(op.value, |stats| stats.spec.value);
         if is_exhausted || (is_new && !is_admitted) || attempt.now >= self.retry_deadline(op) {
             return StageOutcome::Reject;
         }
-        let is_in_time = attempt.now + t.send_ms < op.target_at;
-        if !is_in_time && (t.spec.late_value == 0.0 || attempt.now + t.usual_ms > op.give_up_at) {
+        let is_in_time = attempt.now + stats.send_ms < op.target_at;
+        if !is_in_time && (stats.spec.late_value == 0.0 || attempt.now + stats.usual_ms > op.give_up_at) {
             return StageOutcome::Reject;
         }
         if attempt.now < op.retry_not_before { StageOutcome::Hold } else { StageOutcome::Continue }
@@ -796,11 +811,11 @@
         let (first, count) = (self.groups[group].next_candidate, members.len());
         let first = hinted.and_then(|t| members.iter().position(|m| *m == t)).unwrap_or(first);
         let next = (0..count).map(|i| (first + i) % count).find(|i| {
-            let h = &self.hosts[members[*i]];
+            let record = &self.hosts[members[*i]];
             let tried = op.sends.iter().any(|s| s.host == members[*i]);
-            h.state == HostState::Ready
-                && !h.is_unresponsive
-                && h.replica_seen_at < attempt.now - PROBE_INTERVAL_MS
+            record.state == HostState::Ready
+                && !record.is_unresponsive
+                && record.replica_seen_at < attempt.now - PROBE_INTERVAL_MS
                 && !tried
         });
         let Some(i) = next.filter(|_| tries < self.params.max_sends.div_ceil(2)) else {
@@ -879,8 +894,9 @@
         let assigned =
             order.get(((op.admission_draw * 16.0).fract() * spread) as usize).filter(|m| has_room(m));
         let within_spread = || order.iter().take(spread.ceil() as usize).find(|m| has_room(m));
-        let is_idle =
-            |h: &Host| h.in_flight.is_empty() && self.relative_weight(op.op_type) <= h.in_flight_limit;
+        let is_idle = |record: &Host| {
+            record.in_flight.is_empty() && self.relative_weight(op.op_type) <= record.in_flight_limit
+        };
         let next_idle = || order.iter().find(|m| may_spread && is_idle(&self.hosts[***m]) && has_room(m));
         if let Some(m) = assigned.or_else(within_spread).or_else(next_idle).or(order.first()) {
             attempt.host = **m;
@@ -908,11 +924,11 @@
             LOCAL_ZONE_MAX_LOAD,
         );
         let zone = zone_shares.iter().position(|share| (zone_draw -= share, zone_draw < 0.0).1);
-        let passes_congestion = |h: &Host| {
+        let passes_congestion = |record: &Host| {
             (op.admission_draw * 64.0).fract()
-                < (LOCAL_ZONE_MAX_CONGESTION - h.congestion).max(LOCAL_ZONE_MIN_SHARE)
+                < (LOCAL_ZONE_MAX_CONGESTION - record.congestion).max(LOCAL_ZONE_MIN_SHARE)
         };
-        let is_in_zone = |h: &Host| Some(h.zone) == zone && passes_congestion(h);
+        let is_in_zone = |record: &Host| Some(record.zone) == zone && passes_congestion(record);
         let is_in_zone = |m: &&usize| is_in_zone(&self.hosts[**m]);
         // Without tenant rates, which tell what hosts are built for, a cold replica takes only the ops for
         // which it is next in the rotation. Judged by the little that one router sees of the warm ones, it
@@ -949,11 +965,11 @@
             // position is random, as all routers would otherwise continue with the same host.
             let rotation_position = self.hosts[m].rotation_position;
             for other in candidates.into_iter().filter(|other| *other != m) {
-                let (h, jitter) = (&mut self.hosts[other], self.random.next_f64());
-                h.rotation_position = if h.rotation_position < rotation_position {
-                    rotation_position + jitter / h.capacity
+                let (record, jitter) = (&mut self.hosts[other], self.random.next_f64());
+                record.rotation_position = if record.rotation_position < rotation_position {
+                    rotation_position + jitter / record.capacity
                 } else {
-                    h.rotation_position
+                    record.rotation_position
                 };
             }
         } else {
@@ -966,30 +982,30 @@
     /// a limited ratio to the work that must go there.
     fn may_fall_back(&mut self, attempt: &SendAttempt) -> bool {
         let op = self.ops.get_mut(attempt.slot);
-        let g = &mut self.groups[op.group];
+        let group = &mut self.groups[op.group];
         let work_ms = if std::mem::replace(&mut op.is_counted_as_fallback, true) {
             0.0
         } else {
             self.op_types[op.op_type].usual_ms
         };
-        g.fallback_work.add(attempt.now, work_ms, RETENTION_MS);
-        g.primary_work.add(attempt.now, 0.0, RETENTION_MS);
+        group.fallback_work.add(attempt.now, work_ms, RETENTION_MS);
+        group.primary_work.add(attempt.now, 0.0, RETENTION_MS);
         let (admission_draw, fallback_work, primary_work) =
-            (op.admission_draw, g.fallback_work.value, g.primary_work.value);
+            (op.admission_draw, group.fallback_work.value, group.primary_work.value);
         // One group alone has too few ops for its primary to be judged by.
         let mean_primary_work =
-            self.groups.iter().map(|g| g.primary_work.value).sum::<f64>() / self.groups.len() as f64;
+            self.groups.iter().map(|group| group.primary_work.value).sum::<f64>() / self.groups.len() as f64;
         admission_draw * fallback_work < self.fallback_ratio * primary_work.max(mean_primary_work)
     }
 
     /// The position that a host is assumed to have. Where hosts reject stale reads, its lag is taken to be
     /// constant; elsewhere its last reported position counts.
     fn estimated_position(&self, now: f64, host: usize) -> f64 {
-        let h = &self.hosts[host];
+        let record = &self.hosts[host];
         match self.params.hosts_reject_stale_reads {
-            true if h.position == f64::NEG_INFINITY => now,
-            true => h.position + (now - h.position_at),
-            false => h.position,
+            true if record.position == f64::NEG_INFINITY => now,
+            true => record.position + (now - record.position_at),
+            false => record.position,
         }
     }
 
@@ -997,9 +1013,9 @@
     /// share.
     fn may_hold(&self, attempt: &SendAttempt) -> bool {
         let op = self.ops.get(attempt.slot);
-        let t = &self.op_types[op.op_type];
+        let stats = &self.op_types[op.op_type];
         let max_hold_ms =
-            (op.target_at - op.arrived_at - t.usual_ms) * if op.is_over_share { 0.0 } else { HOLD_SHARE };
+            (op.target_at - op.arrived_at - stats.usual_ms) * if op.is_over_share { 0.0 } else { HOLD_SHARE };
         attempt.now - op.arrived_at <= max_hold_ms
     }
 
@@ -1025,7 +1041,7 @@
         }
     }
 
-    // ---- stages on the way back
+    // Stages on the way back.
 
     /// Records the commit of an acked write for later reads of its session.
     fn record_commit(&mut self, result: &SendResult) {
@@ -1041,22 +1057,24 @@
     /// Updates the in-flight limit and the admitted shares.
     fn update_limits(&mut self, result: &SendResult) {
         let op = self.ops.get(result.slot);
-        let t = &self.op_types[op.op_type];
+        let stats = &self.op_types[op.op_type];
         // Without a response it would have taken longer still: ops withdrawn at their target would make a
         // congested host look healthy.
-        let unobserved_ms = if result.ending.is_from_host() { 0.0 } else { t.usual_ms };
+        let unobserved_ms = if result.ending.is_from_host() { 0.0 } else { stats.usual_ms };
         let spent_ms = result.now - result.sent_at + unobserved_ms;
         let is_cold = self.warm_fraction(result.sent_at, result.host) < 1.0;
         let (role_index, host_role_index) =
             (self.role_index(op), usize::from(self.primary_of(op.group) == Some(result.host)));
-        let h = &mut self.hosts[result.host];
-        let Some((send, weight_before)) = h.remove_in_flight(result.slot, result.sent_at) else { return };
-        h.record_connection(result.ending.is_from_host(), send.opens_connection);
+        let record = &mut self.hosts[result.host];
+        let Some((send, weight_before)) = record.remove_in_flight(result.slot, result.sent_at) else {
+            return;
+        };
+        record.record_connection(result.ending.is_from_host(), send.opens_connection);
         if result.ending.cannot_have_run() && result.ending != Ending::Full {
             return;
         }
         let is_late =
-            result.ending == Ending::Full || spent_ms > LATE_TARGET_SHARE * t.spec.latency_target_ms;
+            result.ending == Ending::Full || spent_ms > LATE_TARGET_SHARE * stats.spec.latency_target_ms;
         if is_cold {
             let min_factor = MIN_SHARE * self.params.max_cold_load_factor;
             let share = &mut self.cold_load_factors[role_index];
@@ -1067,31 +1085,33 @@
             self.fallback_ratio = (self.fallback_ratio * if is_late { SHARE_CUT } else { SHARE_RISE })
                 .clamp(MIN_SHARE, MAX_FALLBACK_RATIO);
         }
-        let congestion = (spent_ms / (CONGESTED_TARGET_SHARE * t.spec.latency_target_ms)).min(5.0);
-        update_average(&mut h.congestion, congestion, CONGESTION_SMOOTHING);
+        let congestion = (spent_ms / (CONGESTED_TARGET_SHARE * stats.spec.latency_target_ms)).min(5.0);
+        update_average(&mut record.congestion, congestion, CONGESTION_SMOOTHING);
         if result.ending == Ending::Acked && !is_cold {
-            self.warm_rates[host_role_index].add(result.now, t.usual_ms, 0.0, RETENTION_MS);
+            self.warm_rates[host_role_index].add(result.now, stats.usual_ms, 0.0, RETENTION_MS);
         }
-        // An op that was alone on its host was not delayed by others of this router; if it is late all the
-        // same, it was by those of all routers.
+        // An op that was alone on its host was not delayed by other ops of this router. If it is late all the
+        // same, the ops of all routers together overload the host.
         let was_alone = weight_before <= send.weight;
         if was_alone && role_index == 0 && !send.is_fallback {
             let share = &mut self.groups[op.group].idle_admission_share;
             *share = (*share * if is_late { GROUP_SHARE_CUT } else { SHARE_RISE }).clamp(MIN_SHARE, 1.0);
         }
-        if was_alone && (is_late || h.in_flight_limit < MIN_LIMIT) {
-            let cut = if h.in_flight_limit > MIN_LIMIT { LIMIT_CUT } else { SHARE_CUT };
-            h.in_flight_limit = (h.in_flight_limit * if is_late { cut } else { SHARE_RISE }).max(MIN_SHARE);
+        if was_alone && (is_late || record.in_flight_limit < MIN_LIMIT) {
+            let cut = if record.in_flight_limit > MIN_LIMIT { LIMIT_CUT } else { SHARE_CUT };
+            record.in_flight_limit =
+                (record.in_flight_limit * if is_late { cut } else { SHARE_RISE }).max(MIN_SHARE);
             return;
         }
-        let is_congested = h.congestion > 1.0 && congestion > 1.0 && !was_alone;
+        let is_congested = record.congestion > 1.0 && congestion > 1.0 && !was_alone;
         if is_congested || result.ending == Ending::Full {
-            h.in_flight_limit = (h.in_flight_limit.min(weight_before) * LIMIT_CUT).max(MIN_LIMIT);
-            // Later measurements belong to the new limit; without this, one congestion would cut it to the
-            // floor.
-            h.congestion = CONGESTION_AFTER_CUT;
-        } else if result.ending == Ending::Acked && weight_before > 0.7 * h.in_flight_limit {
-            h.in_flight_limit += 2.0 * (1.0 - h.congestion).clamp(0.0, 0.5) * send.weight / h.in_flight_limit;
+            record.in_flight_limit = (record.in_flight_limit.min(weight_before) * LIMIT_CUT).max(MIN_LIMIT);
+            // Later measurements belong to the new limit; without this, a single congested period would cut
+            // it to the floor.
+            record.congestion = CONGESTION_AFTER_CUT;
+        } else if result.ending == Ending::Acked && weight_before > 0.7 * record.in_flight_limit {
+            record.in_flight_limit +=
+                2.0 * (1.0 - record.congestion).clamp(0.0, 0.5) * send.weight / record.in_flight_limit;
         }
     }
 
@@ -1112,38 +1132,38 @@
         let is_error = matches!(result.ending, Ending::Errored | Ending::Spoilt);
         let ratio =
             if is_error { measured_ratio.max(2.0 * OUTLIER_FACTOR) } else { measured_ratio.min(20.0) };
-        let h = &mut self.hosts[result.host];
+        let record = &mut self.hosts[result.host];
         let is_unfinished = matches!(result.ending, Ending::TimedOut | Ending::Withdrawn | Ending::Reset);
-        if result.ending == Ending::Acked || is_error || (is_unfinished && ratio > h.latency_ratio) {
+        if result.ending == Ending::Acked || is_error || (is_unfinished && ratio > record.latency_ratio) {
             update_average(
-                &mut h.latency_ratio,
+                &mut record.latency_ratio,
                 ratio,
-                if h.is_ejected { TRIAL_SMOOTHING } else { LATENCY_SMOOTHING },
+                if record.is_ejected { TRIAL_SMOOTHING } else { LATENCY_SMOOTHING },
             );
-            h.latency_samples = h.latency_samples.saturating_add(1);
+            record.latency_samples = record.latency_samples.saturating_add(1);
         }
     }
 
     /// A failed or rejected write clears the cached primary, unless the same response confirms the role.
     fn update_primary(&mut self, result: &SendResult) {
         let op = self.ops.get_mut(result.slot);
-        let t = &self.op_types[op.op_type];
+        let stats = &self.op_types[op.op_type];
         let is_turned_away = matches!(result.ending, Ending::Full | Ending::Unreached);
         if is_turned_away && self.hosts[result.host].primary_seen_at > f64::NEG_INFINITY {
             // Sent again at once, all ops that an overloaded primary refuses would return immediately.
-            op.retry_not_before = result.now + 0.5 * t.usual_ms * op.sends.len() as f64;
+            op.retry_not_before = result.now + 0.5 * stats.usual_ms * op.sends.len() as f64;
         }
-        if t.spec.consistency != Consistency::Write {
+        if stats.spec.consistency != Consistency::Write {
             return;
         }
         let discovery_write = &mut self.groups[op.group].discovery_write;
         *discovery_write = discovery_write.filter(|s| *s != result.slot);
-        let h = &mut self.hosts[result.host];
+        let record = &mut self.hosts[result.host];
         // A send that did not reach the host, or an unreadable response, says nothing about its role.
         let is_role_in_doubt =
             matches!(result.ending, Ending::Missed | Ending::Errored | Ending::TimedOut | Ending::Reset);
-        if is_role_in_doubt && h.primary_seen_at <= result.sent_at {
-            h.clear_primary(result.now);
+        if is_role_in_doubt && record.primary_seen_at <= result.sent_at {
+            record.clear_primary(result.now);
         }
     }
 
@@ -1179,25 +1199,25 @@
 
     /// The same, and until when the host's data is fresh enough where hosts do not reject stale reads.
     fn send_deadline(&self, op: &Op, host: usize) -> f64 {
-        let (spec, h) = (&self.op_types[op.op_type].spec, &self.hosts[host]);
+        let (spec, record) = (&self.op_types[op.op_type].spec, &self.hosts[host]);
         self.retry_deadline(op).min(match spec.consistency {
-            _ if self.params.hosts_reject_stale_reads || h.is_freshness_exempt => f64::INFINITY,
-            Consistency::Bounded => h.position + spec.staleness_bound_ms,
-            _ if h.position >= op.min_position => f64::INFINITY,
+            _ if self.params.hosts_reject_stale_reads || record.is_freshness_exempt => f64::INFINITY,
+            Consistency::Bounded => record.position + spec.staleness_bound_ms,
+            _ if record.position >= op.min_position => f64::INFINITY,
             _ => f64::NEG_INFINITY,
         })
     }
 
     /// Whether all rules other than the cold budget permit the send.
     fn is_allowed(&self, op: &Op, host: usize, now: f64) -> bool {
-        let h = &self.hosts[host];
+        let record = &self.hosts[host];
         !op.is_answered
             && now < op.give_up_at
-            && h.group == op.group
+            && record.group == op.group
             && op.sends.len() < self.params.max_sends
             && op.outstanding() < self.params.max_outstanding_sends
-            && (now - h.unready_since < self.params.drain_grace_ms - self.params.tick_ms
-                || h.unready_since == f64::INFINITY)
+            && (now - record.unready_since < self.params.drain_grace_ms - self.params.tick_ms
+                || record.unready_since == f64::INFINITY)
             && now < self.send_deadline(op, host)
     }
 
@@ -1245,21 +1265,21 @@
     /// Whether a host has room for one more op in flight. An in-flight limit below 1 is the share of ops
     /// admitted to an idle host.
     fn has_room(&self, now: f64, op: &Op, host: usize) -> bool {
-        let h = &self.hosts[host];
+        let record = &self.hosts[host];
         let relative_value = self
             .relative_to_mean(op.value / self.op_types[op.op_type].usual_ms, |t| t.spec.value / t.usual_ms);
         // A read goes to whichever replica admits it, so what the replicas admit together has its own share.
         let group_share =
             if self.role_index(op) == 1 { 1.0 } else { self.groups[op.group].idle_admission_share };
-        let admitted_share = h.in_flight_limit.min(group_share);
-        let is_admitted_idle = h.in_flight.is_empty()
+        let admitted_share = record.in_flight_limit.min(group_share);
+        let is_admitted_idle = record.in_flight.is_empty()
             && (admitted_share >= MIN_LIMIT || op.admission_draw < admitted_share * relative_value);
-        let fits_limit = h.in_flight_limit > MIN_LIMIT
-            && h.in_flight_weight + self.relative_weight(op.op_type) <= h.in_flight_limit;
+        let fits_limit = record.in_flight_limit > MIN_LIMIT
+            && record.in_flight_weight + self.relative_weight(op.op_type) <= record.in_flight_limit;
         // While connections are slow to open, an op waits for an open one rather than for a new one.
         let has_connection =
-            now >= self.slow_connect_until || h.idle_connections() > 0 || h.in_flight.is_empty();
-        !h.is_unresponsive
+            now >= self.slow_connect_until || record.idle_connections() > 0 || record.in_flight.is_empty();
+        !record.is_unresponsive
             && has_connection
             && (is_admitted_idle || fits_limit)
             && self.fits_cold_budget(now, op, host)
@@ -1282,9 +1302,9 @@
     /// to warm hosts of the same capacity. Where that is less than one op, as with hundreds of routers, ops
     /// are admitted at random, at the ratio of the budget to the demand of all routers.
     fn fits_cold_budget(&self, now: f64, op: &Op, host: usize) -> bool {
-        let (warm_fraction, h, usual_ms) =
+        let (warm_fraction, record, usual_ms) =
             (self.warm_fraction(now, host), &self.hosts[host], self.op_types[op.op_type].usual_ms);
-        let recent_work_ms = h.recent_work(now - self.params.overload_window_ms);
+        let recent_work_ms = record.recent_work(now - self.params.overload_window_ms);
         let budget_ms = self.params.cold_budget_multiple
             * warm_fraction
             * self.warm_work_per_ms(host)
@@ -1377,9 +1397,10 @@
     fn evaluate_hosts(&mut self, now: f64, outbox: &mut dyn Outbox) {
         if now - self.rates_updated_at >= SECOND_MS {
             let elapsed_ms = now - std::mem::replace(&mut self.rates_updated_at, now);
-            for h in &mut self.hosts {
+            for record in &mut self.hosts {
                 // What is known about an idle host becomes stale, all the more where it gets few ops.
-                h.in_flight_limit *= if h.in_flight_limit < MIN_LIMIT { IDLE_SHARE_RECOVERY } else { 1.0 };
+                record.in_flight_limit *=
+                    if record.in_flight_limit < MIN_LIMIT { IDLE_SHARE_RECOVERY } else { 1.0 };
             }
             // The mean work of warm hosts, not the median: with less than one op per host the median is 0.
             let is_warm =
@@ -1397,27 +1418,34 @@
         if !std::mem::take(&mut self.is_outlier_check_due) {
             return;
         }
-        let is_counted = |h: &&Host| {
-            h.state == HostState::Ready && h.latency_samples >= MIN_LATENCY_SAMPLES && !h.is_unresponsive
+        let is_counted = |record: &&Host| {
+            record.state == HostState::Ready
+                && record.latency_samples >= MIN_LATENCY_SAMPLES
+                && !record.is_unresponsive
         };
         let fleet_median =
-            median(self.hosts.iter().filter(is_counted).map(|h| h.latency_ratio).collect()).unwrap_or(1.0);
+            median(self.hosts.iter().filter(is_counted).map(|record| record.latency_ratio).collect())
+                .unwrap_or(1.0);
         for group in 0..self.groups.len() {
             let members = &self.groups[group].members;
-            let latency_ratios =
-                members.iter().map(|m| &self.hosts[*m]).filter(is_counted).map(|h| h.latency_ratio).collect();
+            let latency_ratios = members
+                .iter()
+                .map(|m| &self.hosts[*m])
+                .filter(is_counted)
+                .map(|record| record.latency_ratio)
+                .collect();
             // Two slow members of three raise their group's median; the fleet's median still exposes them.
             let baseline = median(latency_ratios).unwrap_or(1.0).min(fleet_median);
             for m in members.clone() {
-                let h = &mut self.hosts[m];
-                let is_outlier =
-                    h.latency_samples >= MIN_LATENCY_SAMPLES && h.latency_ratio > OUTLIER_FACTOR * baseline;
-                if is_outlier != h.is_ejected {
-                    (h.is_ejected, h.next_trial_at) = (is_outlier, now + PROBE_INTERVAL_MS);
+                let record = &mut self.hosts[m];
+                let is_outlier = record.latency_samples >= MIN_LATENCY_SAMPLES
+                    && record.latency_ratio > OUTLIER_FACTOR * baseline;
+                if is_outlier != record.is_ejected {
+                    (record.is_ejected, record.next_trial_at) = (is_outlier, now + PROBE_INTERVAL_MS);
                     let change = if is_outlier { "ejected" } else { "back in rotation" };
                     outbox.log(&format!(
                         "host {m} {change}: {:.2} against a median of {baseline:.2}",
-                        h.latency_ratio
+                        record.latency_ratio
                     ));
                 }
             }
@@ -1427,16 +1455,16 @@
     /// Marks sends as lost that were overtaken or whose host is unresponsive, and retries their ops
     /// elsewhere.
     fn detect_lost_sends(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize) {
-        let h = &mut self.hosts[host];
-        let slowdown = h.latency_ratio.max(1.0);
+        let record = &mut self.hosts[host];
+        let slowdown = record.latency_ratio.max(1.0);
         let is_late = |send: &InFlightSend| now - send.sent_at > LOST_SEND_FACTOR * send.usual_ms * slowdown;
         // Late sends are lost even where the host answers others; they no longer count towards its limit.
-        let is_unresponsive = h.is_unresponsive;
-        let is_overtaken = |send: &InFlightSend| is_late(send) && send.sent_at < h.last_response_at;
+        let is_unresponsive = record.is_unresponsive;
+        let is_overtaken = |send: &InFlightSend| is_late(send) && send.sent_at < record.last_response_at;
         let lost_sends: Vec<InFlightSend> =
-            h.in_flight.iter().filter(|send| is_unresponsive || is_overtaken(send)).cloned().collect();
-        h.in_flight_weight =
-            h.in_flight.iter().filter(|send| !is_overtaken(send)).map(|send| send.weight).sum();
+            record.in_flight.iter().filter(|send| is_unresponsive || is_overtaken(send)).cloned().collect();
+        record.in_flight_weight =
+            record.in_flight.iter().filter(|send| !is_overtaken(send)).map(|send| send.weight).sum();
         for send in lost_sends.into_iter().filter(|send| now - send.sent_at > send.usual_ms) {
             let op = self.ops.get_mut(send.op_slot);
             op.sends[send.send_index].is_lost = true;
@@ -1463,15 +1491,15 @@
 
     /// Probes a host, or sets it aside where probes are not permitted.
     fn probe_host(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize) {
-        let h = &mut self.hosts[host];
+        let record = &mut self.hosts[host];
         if !self.params.may_probe {
             self.mark_unresponsive(now, outbox, host, "contact failed");
             // No probe will show when it is back; an op tries it after a while.
-            let h = &mut self.hosts[host];
-            h.next_trial_at =
-                now + (0.5 * (now - h.down_since)).clamp(PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS);
-        } else if !h.is_probe_in_flight {
-            (h.is_probe_in_flight, h.last_probe_at) = (true, now);
+            let record = &mut self.hosts[host];
+            record.next_trial_at =
+                now + (0.5 * (now - record.down_since)).clamp(PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS);
+        } else if !record.is_probe_in_flight {
+            (record.is_probe_in_flight, record.last_probe_at) = (true, now);
             outbox.probe(host);
         }
     }
@@ -1479,18 +1507,24 @@
     /// Whether an op may have the host probed: its last report or probe is not recent. The number of probes
     /// thus grows with the ops, not with the hosts.
     fn may_probe_host(&self, now: f64, host: usize) -> bool {
-        let h = &self.hosts[host];
+        let record = &self.hosts[host];
         // A host that is far behind, or has been down for long, will not be back soon.
-        let has_primary = self.groups[h.group].no_primary_since == f64::INFINITY;
-        let outage_ms =
-            if h.down_since < f64::INFINITY { now - h.down_since } else { h.position_at - h.position };
+        let has_primary = self.groups[record.group].no_primary_since == f64::INFINITY;
+        let outage_ms = if record.down_since < f64::INFINITY {
+            now - record.down_since
+        } else {
+            record.position_at - record.position
+        };
         let interval_ms = if has_primary {
             (0.5 * outage_ms).clamp(PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS)
         } else {
             PROBE_INTERVAL_MS / 2.0
         };
-        let due_at = h.last_probe_at.max(h.position_at) + interval_ms;
-        self.params.may_probe && h.state == HostState::Ready && !h.is_probe_in_flight && now >= due_at
+        let due_at = record.last_probe_at.max(record.position_at) + interval_ms;
+        self.params.may_probe
+            && record.state == HostState::Ready
+            && !record.is_probe_in_flight
+            && now >= due_at
     }
 }
 
