--- a/crates/members/src/gossip.rs
+++ b/crates/members/src/gossip.rs
@@ -1,8 +1,9 @@
-//! Dissemination: which updates go with a datagram, how often, and to whom.
+//! Dissemination: which updates are piggybacked on a datagram, how many times, and to which members.
 
 use crate::{MemberId, Members, State, Update};
 
-/// Draws for each member wanted from [`Members::random_members`] before a list of all candidates is made.
+/// Random draws per member requested from [`Members::random_members`] before it builds a list of all
+/// candidates.
 const DRAWS_PER_MEMBER: usize = 4;
 
 impl Members {
@@ -12,14 +13,14 @@
         (self.limits.retransmit_multiplier * doublings).ceil() as u32
     }
 
-    /// Has this router's own incarnation and state gossiped anew.
+    /// Queues this router's own incarnation and state for gossip.
     pub(crate) fn announce_self(&mut self) {
         let (incarnation, transmit_limit) = (self.incarnation, self.transmit_limit());
         self.roster.change(self.local, |own| own.incarnation = incarnation);
-        self.roster.gossip(self.local, transmit_limit);
+        self.roster.set_transmissions(self.local, transmit_limit);
     }
 
-    /// At most `count` random members among those that can be expected to answer, without the two excluded.
+    /// At most `count` distinct random members that are expected to answer, without the excluded ones.
     pub fn random_members(&mut self, count: usize, excluded: [MemberId; 2]) -> Vec<MemberId> {
         let mut chosen = Vec::new();
         for _ in 0..DRAWS_PER_MEMBER * count {
@@ -31,7 +32,7 @@
                 chosen.push(candidate);
             }
         }
-        // Few are left to choose from: the rest is drawn from a list of them.
+        // Few candidates remain, so that random draws seldom hit one: choose the rest from a list of them.
         let mut candidates = self.reachable();
         candidates.retain(|member| self.is_candidate(*member, excluded) && !chosen.contains(member));
         while chosen.len() < count && !candidates.is_empty() {
@@ -45,8 +46,8 @@
         self.is_reachable(member) && !excluded.contains(&member)
     }
 
-    /// At most `limit` updates to piggyback on a datagram to this member: first what it must know of itself
-    /// to refute it, then what was transmitted least often.
+    /// At most `limit` updates to piggyback on a datagram to member `to`: first the update about `to`
+    /// itself if it is not believed alive, so that it can refute it, then those transmitted least often.
     pub fn updates_for(&mut self, to: MemberId, limit: usize) -> Vec<Update> {
         let mut updates = Vec::new();
         if let Some(member) = self.roster.get(to).filter(|member| member.state != State::Alive) {
--- a/crates/members/src/health.rs
+++ b/crates/members/src/health.rs
@@ -1,11 +1,11 @@
-//! Lifeguard's local health: a router that has trouble of its own gives others more time before it suspects
-//! them.
+//! Lifeguard's local health: a router with signs of a problem of its own gives other members more time
+//! before it suspects them.
 
 use crate::Members;
 use crate::limits::MAX_HEALTH_PENALTY;
 
 impl Members {
-    /// The factor by which this router's timeouts are longer because of its own trouble: 1 to 6.
+    /// The factor by which this router's timeouts are extended while its own health is impaired: 1 to 6.
     pub fn health_multiplier(&self) -> f64 {
         f64::from(1 + self.health_penalty)
     }
@@ -15,8 +15,8 @@
         self.limits.ack_timeout * self.health_multiplier()
     }
 
-    /// Notes a sign of trouble of this router's own.
-    pub(crate) fn worsen_health(&mut self) {
+    /// Records a sign that this router itself is impaired.
+    pub(crate) fn raise_health_penalty(&mut self) {
         self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
     }
 }
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,12 +1,12 @@
-//! Membership of the tier as one router believes it, by SWIM with Lifeguard's local health: each router pings
-//! another every probe period, asks others to ping one that does not answer, suspects it, and declares it
-//! dead if nobody refutes the suspicion in time. No I/O, no clock, no threads: events in, actions out. All
-//! times are in ms. Whoever is not in the roster is ignored.
+//! SWIM group membership with Lifeguard's local health, as seen by one router of the tier: each router pings
+//! one member per probe period, asks others to ping a member that does not answer, suspects it, and declares
+//! it dead if the suspicion is not refuted in time. The crate has no I/O, clock or threads: it takes events
+//! and returns actions. All times are in ms. Datagrams from members outside the roster are ignored.
 //!
-//! A router's incarnation begins with its start time: an update about an earlier one is about another
-//! process. A router that learns that it is suspected or declared dead refutes it with a later incarnation.
-//! One whose own process was paused, as a late tick shows, drops what it was waiting for and suspects nobody
-//! for it.
+//! A router's incarnation starts with its process start time, so an update about an earlier incarnation is
+//! about an earlier process. A router that learns that it is suspected or declared dead refutes this with a
+//! later incarnation. A router whose own process was paused, as a late tick shows, drops its outstanding
+//! pings and suspects nobody because of them.
 
 mod gossip;
 mod health;
@@ -37,18 +37,18 @@
     roster: Roster,
     /// Suspicions that this router raised itself.
     suspicions: Vec<OwnSuspicion>,
-    /// Members still to be pinged in this round, the next one last.
+    /// Members still to be pinged in the current round; the next one is at the end.
     round: Vec<MemberId>,
-    pending: Option<PendingPing>,
-    relayed: Vec<RelayedPing>,
-    /// The number of the last ping.
-    next_number: u32,
+    pending_ping: Option<PendingPing>,
+    relayed_pings: Vec<RelayedPing>,
+    /// Sequence number of the last ping sent.
+    last_ping_number: u32,
     /// Probe periods so far.
     periods: u32,
     next_probe_at: f64,
     next_suspect_ping_at: f64,
     last_tick_at: Option<f64>,
-    /// Lifeguard's local health score: 0 while all is well.
+    /// Lifeguard's local health score: 0 while this router is healthy.
     health_penalty: u32,
     random: Random,
     /// Whether this router has left.
@@ -58,8 +58,8 @@
 }
 
 impl Members {
-    /// The view of router `local` of a roster of `size`, whose process started at this Unix time in ms. All
-    /// others count as alive until they are found not to be.
+    /// The initial view of router `local` in a roster of `size` members; `started_at` is the start of its
+    /// process in Unix ms. All other members are believed alive at first.
     pub fn new(
         local: MemberId,
         size: usize,
@@ -80,9 +80,9 @@
             roster: Roster::new(size),
             suspicions: Vec::new(),
             round: Vec::new(),
-            pending: None,
-            relayed: Vec::new(),
-            next_number: 0,
+            pending_ping: None,
+            relayed_pings: Vec::new(),
+            last_ping_number: 0,
             periods: 0,
             next_probe_at: f64::NEG_INFINITY,
             next_suspect_ping_at: f64::NEG_INFINITY,
@@ -106,49 +106,50 @@
         self.incarnation
     }
 
-    /// The believed state of a member; dead where the roster does not name it.
+    /// The believed state of a member; dead if it is not in the roster.
     pub fn state(&self, member: MemberId) -> State {
         self.roster.get(member).map_or(State::Dead, |member| member.state)
     }
 
-    /// Whether a member is neither dead nor left, and its group is not lost. A suspected one still counts.
+    /// Whether a member is neither dead nor has left, and its group is counted. A suspected member is
+    /// counted.
     pub fn is_counted(&self, member: MemberId) -> bool {
         self.roster.get(member).is_some_and(|member| member.is_counted())
     }
 
-    /// How many members count.
+    /// The number of counted members.
     pub fn counted_size(&self) -> usize {
         self.roster.counted()
     }
 
-    /// Whether something is to be gossiped that has been told to nobody yet.
+    /// Whether a queued update has not been sent to any member yet.
     pub fn has_unsent_updates(&self) -> bool {
         self.roster.has_unsent(self.transmit_limit())
     }
 
-    /// How many updates wait to be gossiped.
+    /// The number of updates queued for gossip.
     pub fn pending_updates(&self) -> usize {
         self.roster.pending()
     }
 
-    /// A number from this router's sequence of random numbers.
+    /// The next number of this router's pseudo-random sequence.
     pub fn random_number(&mut self) -> u64 {
         self.random.next()
     }
 
-    /// Takes the word of a detector of groups about a member's group.
+    /// Sets the status of a member's group, as determined by a group failure detector.
     pub fn set_group_status(&mut self, member: MemberId, status: GroupStatus) {
         if member != self.local {
             self.roster.set_group_status(member, status);
         }
     }
 
-    /// Members that count, this router among them, in the order of their numbers.
+    /// The counted members, including this router, in ascending order.
     pub fn counted(&self) -> impl Iterator<Item = MemberId> {
         self.roster.ids().filter(|member| self.is_counted(*member))
     }
 
-    /// Whether a member, other than this router, can be expected to answer.
+    /// Whether a member other than this router is expected to answer.
     fn is_reachable(&self, member: MemberId) -> bool {
         member != self.local && self.roster.get(member).is_some_and(|member| member.is_reachable())
     }
@@ -157,13 +158,13 @@
         self.roster.ids().filter(|member| self.is_reachable(*member)).collect()
     }
 
-    /// Others that are dead, have left, or are in a silent group.
+    /// Other members that are dead, have left, or are in a silent group.
     fn unreachable(&self) -> Vec<MemberId> {
         self.roster.ids().filter(|member| *member != self.local && !self.is_reachable(*member)).collect()
     }
 
-    /// Advances the time; to be called several times a probe period. A call later than the pause threshold
-    /// after the last one shows that this process was paused.
+    /// Advances the time; must be called several times per probe period. If more than the pause threshold has
+    /// passed since the previous call, this process is taken to have been paused.
     pub fn tick(&mut self, now: f64) -> Vec<Action> {
         let mut actions = Vec::new();
         let elapsed = self.last_tick_at.map_or(0.0, |at| now - at);
@@ -183,8 +184,8 @@
         actions
     }
 
-    /// Takes a datagram from a member: its own incarnation, its message and the updates with it. One from
-    /// outside the roster is ignored.
+    /// Handles a datagram from a member: its incarnation, its message and the piggybacked updates. A datagram
+    /// from outside the roster is ignored.
     pub fn receive(
         &mut self,
         now: f64,
@@ -212,20 +213,21 @@
             Message::Gossip => {}
         }
         if is_unaware && !matches!(message, Message::Ping { .. }) {
-            // An ack would tell it as well.
+            // A ping is answered with an ack, which carries the same updates.
             actions.push(Action::Send { to: from, message: Message::Gossip });
         }
         self.report_changes(&mut actions);
         actions
     }
 
-    /// Whoever sends is alive; but a late datagram of an earlier process brings nobody back. True where the sender
-    /// doesn't know what is believed of it: the next datagram to it says so, and it will refute it.
+    /// Records the sender of a datagram as alive; a late datagram of an earlier process does not revive the
+    /// member. Returns true if the sender has not refuted the state believed of it: the next datagram to it
+    /// carries that state, so that it can.
     fn note_sender(&mut self, from: MemberId, incarnation: Incarnation) -> bool {
         let Some(believed) = self.roster.get(from) else { return false };
-        let unaware = believed.state != State::Alive && incarnation == believed.incarnation;
+        let is_unaware = believed.state != State::Alive && incarnation == believed.incarnation;
         self.apply(Update { member: from, incarnation, state: State::Alive });
-        unaware
+        is_unaware
     }
 
     fn report_changes(&mut self, actions: &mut Vec<Action>) {
@@ -234,25 +236,25 @@
         }
     }
 
-    /// Leaves the tier: announces it to at most `count` members, and does nothing more afterwards.
+    /// Leaves the tier: announces this to at most `count` members. All later events are ignored.
     pub fn leave(&mut self, count: usize) -> Vec<Action> {
         self.left = true;
         self.announce_self();
         self.roster.change(self.local, |own| own.state = State::Left);
-        let mut informed = self.reachable();
-        while informed.len() > count {
-            let i = self.random.index(informed.len());
-            informed.swap_remove(i);
+        let mut receivers = self.reachable();
+        while receivers.len() > count {
+            let i = self.random.index(receivers.len());
+            receivers.swap_remove(i);
         }
-        let farewell = |to| Action::Send { to, message: Message::Gossip };
-        informed.into_iter().map(farewell).collect()
+        let announce = |to| Action::Send { to, message: Message::Gossip };
+        receivers.into_iter().map(announce).collect()
     }
 }
 
-/// Why a roster can't be used.
+/// Why a roster is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RosterError {
-    /// More members than the protocol is made for.
+    /// The roster has more than [`MAX_MEMBERS`] members.
     TooLarge { size: usize },
     /// This router's own number is not in the roster.
     NotInRoster { member: MemberId, size: usize },
@@ -262,10 +264,10 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             RosterError::TooLarge { size } => {
-                write!(f, "the roster has {size} members, at most {MAX_MEMBERS} are possible")
+                write!(f, "the roster has {size} members, at most {MAX_MEMBERS} are supported")
             }
             RosterError::NotInRoster { member, size } => {
-                write!(f, "number {member} is not in a roster of {size} members")
+                write!(f, "member {member} is not in a roster of {size} members")
             }
         }
     }
--- a/crates/members/src/limits.rs
+++ b/crates/members/src/limits.rs
@@ -1,25 +1,25 @@
-//! The protocol's settings.
+//! Parameters and bounds of the membership protocol.
 
 /// Periods, counts and multipliers of the failure detector and of gossip.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Time between two direct probes, in ms.
+    /// Mean time between two direct probes, in ms.
     pub probe_period: f64,
-    /// How long a direct probe waits for its ack before others are asked to probe, in ms. A member that has
-    /// not answered by the end of the probe period is suspected. Multiplied by this router's health
-    /// multiplier.
+    /// How long a direct probe waits for its ack before indirect probes are requested, in ms; multiplied by
+    /// this router's health multiplier. A member that has not answered by the end of the probe period is
+    /// suspected.
     pub ack_timeout: f64,
-    /// Members asked to probe one that did not answer directly.
+    /// Members that are asked to probe a member that did not answer the direct probe.
     pub indirect_probes: usize,
-    /// Duration of a suspicion, in probe periods for each power of ten of counted members (at least one
+    /// Suspicion timeout, in probe periods per power of ten of the number of counted members (at least one
     /// power).
     pub suspicion_multiplier: f64,
-    /// Transmissions of one update, for each doubling of the roster.
+    /// Transmissions of an update per doubling of the roster size.
     pub retransmit_multiplier: f64,
-    /// One probe period in so many probes a member that is dead or has left, so that partitions find each
-    /// other again.
+    /// Every this many probe periods, a member is probed that is dead, has left or is in a silent group, so
+    /// that the sides of a partition find each other again when it heals.
     pub dead_probe_interval: u32,
-    /// Time between two ticks, in ms, beyond which this router's own process must have been paused.
+    /// Time between two ticks, in ms, beyond which this router's own process is taken to have been paused.
     pub pause_threshold: f64,
 }
 
@@ -37,17 +37,18 @@
     }
 }
 
-/// The most members of a roster: what was simulated, with room; numbers would go to 65,536.
+/// Maximum roster size: the simulated sizes with a margin. Member numbers would allow 65,536.
 pub const MAX_MEMBERS: usize = 8_192;
 
-/// Members that one router suspects by its own probes at one time. Further ones are suspected when there is room.
+/// Maximum number of concurrent suspicions raised by a router's own probes. Further members are suspected
+/// later, when an earlier suspicion has ended.
 pub(crate) const MAX_OWN_SUSPICIONS: usize = 64;
 
-/// The most that the local health penalty grows to; the health multiplier is one more.
+/// Upper limit of the local health penalty; the health multiplier is the penalty plus one.
 pub(crate) const MAX_HEALTH_PENALTY: u32 = 5;
 
-/// Pings relayed for other members at one time; further requests are ignored.
+/// Maximum number of outstanding pings on behalf of other members; further requests are ignored.
 pub(crate) const MAX_RELAYED_PINGS: usize = 32;
 
-/// The factor by which probe periods are stretched while the local health penalty is above zero.
+/// Factor by which probe periods are extended while the local health penalty is above zero.
 pub(crate) const UNHEALTHY_PERIOD_FACTOR: f64 = 4.0 / 3.0;
--- a/crates/members/src/random.rs
+++ b/crates/members/src/random.rs
@@ -1,23 +1,21 @@
-//! Pseudo-random choices of members to probe and to gossip to.
+//! Pseudo-random numbers to choose members for probes and gossip.
 
 use magpiewell_splitmix::SplitMix;
 
-/// Distinguishes this crate's sequence from other uses of the same seed.
+/// Makes this crate's sequence differ from those of other uses of the same seed.
 const SEED_MASK: u64 = 0x6d65_6d62_6572_7321;
 
-/// A seeded source of choices.
+/// A seeded pseudo-random number generator.
 #[derive(Clone, Debug)]
 pub(crate) struct Random {
     generator: SplitMix,
 }
 
 impl Random {
-    /// A generator whose sequence is determined by the seed.
     pub fn new(seed: u64) -> Random {
         Random { generator: SplitMix::new(seed ^ SEED_MASK) }
     }
 
-    /// The next number of the sequence.
     pub fn next(&mut self) -> u64 {
         self.generator.next_u64()
     }
--- a/crates/members/src/random/tests.rs
+++ b/crates/members/src/random/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Seeded runs of the membership tests are repeatable only while the sequence of a seed stays the same.
+/// Seeded runs of the membership tests are reproducible only while the sequence of a seed does not change.
 #[test]
 fn the_sequence_of_a_seed_is_fixed() {
     let mut random = Random::new(42);
--- a/crates/members/src/roster.rs
+++ b/crates/members/src/roster.rs
@@ -1,15 +1,15 @@
-//! What is kept of all members: their states, how many of them count, and which updates are still to be gossiped.
+//! The states of all members, the number of counted members, and the updates still to be gossiped.
 
 use crate::update::Member;
 use crate::{GroupStatus, MemberId, Update};
 
-/// All members of the tier, by their numbers.
+/// All members of the tier, indexed by [`MemberId`].
 #[derive(Clone, Debug)]
 pub(crate) struct Roster {
     members: Vec<Member>,
-    /// Members that count.
+    /// The number of counted members.
     counted: usize,
-    /// Members whose update is still to be gossiped, each once.
+    /// Members whose update is queued for gossip, without duplicates.
     pending: Vec<MemberId>,
 }
 
@@ -34,19 +34,19 @@
         self.counted
     }
 
-    /// Changes one member, and keeps the number of members that count right.
+    /// Changes one member and updates the number of counted members.
     pub fn change(&mut self, member: MemberId, change: impl FnOnce(&mut Member)) {
-        let Some(held) = self.members.get_mut(usize::from(member)) else { return };
-        let counted_before = usize::from(held.is_counted());
-        change(held);
-        self.counted = self.counted + usize::from(held.is_counted()) - counted_before;
+        let Some(entry) = self.members.get_mut(usize::from(member)) else { return };
+        let counted_before = usize::from(entry.is_counted());
+        change(entry);
+        self.counted = self.counted + usize::from(entry.is_counted()) - counted_before;
     }
 
-    /// Has a member's update gossiped so many times from now on.
-    pub fn gossip(&mut self, member: MemberId, transmissions: u32) {
-        let Some(held) = self.members.get_mut(usize::from(member)) else { return };
-        let was_pending = held.transmissions_left > 0;
-        held.transmissions_left = transmissions;
+    /// Sets how many more times a member's update is gossiped.
+    pub fn set_transmissions(&mut self, member: MemberId, transmissions: u32) {
+        let Some(entry) = self.members.get_mut(usize::from(member)) else { return };
+        let was_pending = entry.transmissions_left > 0;
+        entry.transmissions_left = transmissions;
         match (was_pending, transmissions > 0) {
             (false, true) => self.pending.push(member),
             (true, false) => self.pending.retain(|pending| *pending != member),
@@ -54,43 +54,43 @@
         }
     }
 
-    /// Whether an update waits that has been transmitted to nobody yet.
+    /// Whether a queued update has not been transmitted yet.
     pub fn has_unsent(&self, transmit_limit: u32) -> bool {
-        let is_unsent = |member: &MemberId| self.left(*member) >= transmit_limit;
+        let is_unsent = |member: &MemberId| self.transmissions_left(*member) >= transmit_limit;
         self.pending.iter().any(is_unsent)
     }
 
-    /// How many updates wait to be gossiped.
+    /// The number of updates queued for gossip.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    fn left(&self, member: MemberId) -> u32 {
+    fn transmissions_left(&self, member: MemberId) -> u32 {
         self.members[usize::from(member)].transmissions_left
     }
 
-    /// Takes at most `limit` updates for a datagram to this member: those transmitted least often.
+    /// Takes at most `limit` updates for a datagram to member `to`, those transmitted least often first.
     pub fn take_updates(&mut self, to: MemberId, limit: usize) -> Vec<Update> {
         let mut chosen: Vec<MemberId> = self.pending.iter().copied().filter(|id| *id != to).collect();
         if limit == 0 {
             return Vec::new();
         }
-        let key = |id: &MemberId| (std::cmp::Reverse(self.left(*id)), *id);
+        let key = |id: &MemberId| (std::cmp::Reverse(self.transmissions_left(*id)), *id);
         if chosen.len() > limit {
             chosen.select_nth_unstable_by_key(limit - 1, key);
             chosen.truncate(limit);
         }
         chosen.sort_by_key(key);
         for id in &chosen {
-            let left = self.left(*id) - 1;
+            let left = self.transmissions_left(*id) - 1;
             self.members[usize::from(*id)].transmissions_left = left;
         }
         self.pending.retain(|id| self.members[usize::from(*id)].transmissions_left > 0);
         chosen.into_iter().map(|id| self.members[usize::from(id)].update(id)).collect()
     }
 
-    /// Sets what the detector of groups says of a member.
+    /// Sets the status of a member's group.
     pub fn set_group_status(&mut self, member: MemberId, status: GroupStatus) {
-        self.change(member, |held| held.group = status);
+        self.change(member, |entry| entry.group = status);
     }
 }
--- a/crates/members/src/tests.rs
+++ b/crates/members/src/tests.rs
@@ -333,7 +333,7 @@
                 one.receive(now, from, Incarnation::default(), message, &updates)
             };
             prop_assert!(actions.len() < 8 && one.changed.is_empty());
-            prop_assert!(one.relayed.len() <= limits::MAX_RELAYED_PINGS);
+            prop_assert!(one.relayed_pings.len() <= limits::MAX_RELAYED_PINGS);
             prop_assert!(one.updates_for(from, 5).len() <= 5);
             prop_assert!(one.is_counted(0));
         }
