--- a/crates/facts/src/digest/tests.rs
+++ b/crates/facts/src/digest/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Routers of different versions must compute the same bits for a fact, or they withhold facts from each
-/// other.
+/// Routers of different versions must compute the same bits for a fact. Otherwise a digest does not match the
+/// facts that its router has, and missing facts may be withheld.
 #[test]
 fn the_bits_of_a_fact_are_fixed() {
     let bits = |salt, group, host, observed_at| -> Vec<usize> {
--- a/crates/facts/src/latest.rs
+++ b/crates/facts/src/latest.rs
@@ -1,9 +1,9 @@
-//! Values of which the latest is kept: of all origins together, or of the few latest origins.
+//! Last-writer-wins values: one over all origins, or one for each of the latest few origins.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// When something was observed and by whom: the later time wins, then the higher origin.
+/// The time and the origin of an observation. The later time wins; on a tie, the higher origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Stamp {
     pub observed_at: f64,
@@ -20,14 +20,14 @@
     }
 }
 
-/// A value and when it was observed.
+/// A value with its stamp.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Stamped<T> {
     pub stamp: Stamp,
     pub value: T,
 }
 
-/// One value of each of the few origins that observed something last.
+/// The latest value of each of the few origins with the latest observations.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LatestByOrigin<T> {
     values: BTreeMap<u16, Stamped<T>>,
@@ -40,19 +40,19 @@
 }
 
 impl<T> LatestByOrigin<T> {
-    /// Keeps a value unless it is older than its origin's, or than those of `max_origins` other origins. True
-    /// if it is kept.
+    /// Stores a value unless it is no later than its origin's stored value, or older than those of
+    /// `max_origins` other origins. Returns whether it was stored.
     pub fn merge(&mut self, new: Stamped<T>, max_origins: usize) -> bool {
         let origin = new.stamp.origin;
-        let held = self.values.get(&origin);
-        if held.is_some_and(|held| held.stamp.observed_at >= new.stamp.observed_at) {
+        let entry = self.values.get(&origin);
+        if entry.is_some_and(|entry| entry.stamp.observed_at >= new.stamp.observed_at) {
             return false;
         }
         self.values.insert(origin, new);
         if self.values.len() <= max_origins {
             return true;
         }
-        let oldest = self.values.values().map(|held| held.stamp).min_by(Stamp::order);
+        let oldest = self.values.values().map(|entry| entry.stamp).min_by(Stamp::order);
         if let Some(oldest) = oldest {
             self.values.remove(&oldest.origin);
         }
@@ -63,12 +63,13 @@
         self.values.values()
     }
 
-    /// Values of other origins than this one, observed no longer ago than `lifetime`.
+    /// Values of origins other than `local` that were observed within `lifetime`.
     pub fn recent_of_others(&self, now: f64, lifetime: f64, local: u16) -> impl Iterator<Item = &Stamped<T>> {
-        self.iter().filter(move |held| held.stamp.origin != local && now - held.stamp.observed_at <= lifetime)
+        self.iter()
+            .filter(move |entry| entry.stamp.origin != local && now - entry.stamp.observed_at <= lifetime)
     }
 
     pub fn remove_older(&mut self, now: f64, lifetime: f64) {
-        self.values.retain(|_, held| now - held.stamp.observed_at <= lifetime);
+        self.values.retain(|_, entry| now - entry.stamp.observed_at <= lifetime);
     }
 }
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -1,11 +1,11 @@
-//! What routers of a tier tell one another about groups and hosts. Each fact has an origin, a time and an
-//! expiry, and any set of facts merges in any order to the same state. No I/O, no clock, no threads. Times
-//! are Unix ms.
+//! Facts about groups and hosts that the routers of a tier disseminate by gossip. Each fact has an origin, a
+//! timestamp and a lifetime, and merging is commutative and idempotent: any set of facts results in the same
+//! state in any order. The crate has no I/O, clock or threads. Times are in Unix ms.
 //!
-//! A fact is one router's observation. It may make others more careful, save them a probe or point them to a
-//! host; what it says of positions never makes a read fresh enough, and no op is sent again because of it. So
-//! the store answers few questions: which host was last seen as a group's primary, how far a replica lagged
-//! at some time, and whether several routers had no answer from a host, or slow ones.
+//! A fact is one router's observation. It may make other routers more cautious, save them a probe or point
+//! them to a host, but a reported position never makes a read fresh enough, and no op is retried because of
+//! it. The store therefore answers only a few questions: which host was last seen as a group's primary, how
+//! far a replica lagged at what time, and whether several routers reported a host as unresponsive or slow.
 
 mod digest;
 mod fact;
@@ -22,18 +22,18 @@
 use queue::Queue;
 use store::Store;
 
-/// What became of a fact received from another router.
+/// The outcome of receiving a fact from another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Received {
-    /// It changed what is known, and is forwarded.
+    /// It changed the stored state, and is queued to be forwarded.
     New,
-    /// Known already, or older than what is known.
+    /// It is already known, is older than what is known, or was observed by this router itself.
     Known,
-    /// Dated in the future, or expired.
+    /// Its timestamp is invalid or in the future, or it has expired.
     Rejected,
 }
 
-/// The facts that one router keeps, and those that it has still to send.
+/// The facts stored by one router, and its queue of facts to send.
 #[derive(Clone, Debug)]
 pub struct Facts {
     /// This router's number in the roster.
@@ -41,12 +41,12 @@
     limits: Limits,
     store: Store,
     queue: Queue,
-    /// When this router last learned a primary that it didn't know.
+    /// When a fact from another router last updated a stored primary.
     primary_learned_at: f64,
 }
 
 impl Facts {
-    /// No facts yet, for this router.
+    /// An empty store for router `local`.
     pub fn new(local: u16, limits: Limits) -> Facts {
         Facts {
             local,
@@ -57,10 +57,10 @@
         }
     }
 
-    /// Takes in what this router has observed itself, and queues it unless that is known well enough. True if
-    /// it was queued.
+    /// Records an observation of this router itself, and queues it for sending unless enough is known
+    /// already. Returns whether it was queued.
     pub fn observe(&mut self, now: f64, observation: Observation) -> bool {
-        let known = match observation {
+        let is_known = match observation {
             Observation::Unresponsive { host } => {
                 self.unresponsive_reports(now, host) >= self.limits.max_origins
             }
@@ -68,20 +68,20 @@
             Observation::ReplicaLag { .. } | Observation::Slow { .. } => false,
         };
         let fact = Fact { observation, origin: self.local, observed_at: now };
-        let new = self.store.merge(fact, &self.limits) && !known;
-        if new {
+        let is_new = self.store.merge(fact, &self.limits) && !is_known;
+        if is_new {
             self.queue.push(fact, &self.limits);
         }
-        new
+        is_new
     }
 
-    /// Takes in what another router sent, and queues it if it is new.
+    /// Merges a fact received from another router, and queues it for forwarding if it is new.
     pub fn receive(&mut self, now: f64, fact: Fact) -> Received {
-        let in_future = fact.observed_at > now + self.limits.max_clock_skew;
-        if !fact.observed_at.is_finite() || in_future || fact.is_expired(now, &self.limits) {
+        let is_in_future = fact.observed_at > now + self.limits.max_clock_skew;
+        if !fact.observed_at.is_finite() || is_in_future || fact.is_expired(now, &self.limits) {
             return Received::Rejected;
         }
-        // This router knows better what it has observed itself.
+        // For its own observations this router's store is authoritative.
         if fact.origin == self.local || !self.store.merge(fact, &self.limits) {
             return Received::Known;
         }
@@ -92,23 +92,23 @@
         Received::New
     }
 
-    /// Whether some fact waits to be sent for the first time.
+    /// Whether a queued fact has not been sent yet.
     pub fn has_unsent(&self) -> bool {
         self.queue.has_unsent(&self.limits)
     }
 
-    /// At most `limit` facts to go with a datagram: first what was sent least often. Expired facts are not
-    /// sent.
+    /// Takes at most `limit` unexpired facts for a datagram, those sent least often first.
     pub fn facts_to_send(&mut self, now: f64, limit: usize) -> Vec<Fact> {
         self.queue.take(now, limit, &self.limits)
     }
 
-    /// Whether primaries are changing: more may have changed than this router has heard of.
+    /// Whether this router learned a new primary recently: others may have changed that it has not learned
+    /// yet.
     pub fn should_pull(&self, now: f64) -> bool {
         now - self.primary_learned_at <= self.limits.pull_window
     }
 
-    /// What this router has learned of primaries lately, to ask another for what it lacks.
+    /// A digest of the recently observed primaries, for a request to another router to send the missing ones.
     pub fn digest(&self, now: f64, salt: u8) -> Digest {
         let mut digest = Digest::empty(salt);
         for fact in self.store.recent_primaries(now, &self.limits) {
@@ -119,7 +119,7 @@
         digest
     }
 
-    /// At most `limit` facts that the router with this digest lacks.
+    /// At most `limit` facts that are missing from another router's digest.
     pub fn missing_from(&self, now: f64, digest: &Digest, limit: usize) -> Vec<Fact> {
         digest::missing(&self.store.recent_primaries(now, &self.limits), digest, limit)
     }
@@ -129,27 +129,27 @@
         self.store.primary(now, group, &self.limits)
     }
 
-    /// How far a replica lagged as last seen by any router.
+    /// The last known lag of a replica, as observed by any router.
     pub fn replica_lag(&self, now: f64, host: HostKey) -> Option<ReplicaLag> {
         self.store.replica_lag(now, host, &self.limits)
     }
 
-    /// How many other routers lately had no answer from a host: at most as many as origins are kept.
+    /// How many other routers recently reported a host as unresponsive, at most [`Limits::max_origins`].
     pub fn unresponsive_reports(&self, now: f64, host: HostKey) -> usize {
         self.store.unresponsive_reports(now, host, self.local, &self.limits)
     }
 
-    /// How slow other routers' reads of a host were lately; none where no router reported slow reads.
+    /// How slow other routers' reads from a host were recently; `None` if no router reported slow reads.
     pub fn latency_ratio(&self, now: f64, host: HostKey) -> Option<LatencyRatio> {
         self.store.latency_ratio(now, host, self.local, &self.limits)
     }
 
-    /// Drops what has expired; to be called now and then.
+    /// Removes expired facts; must be called periodically.
     pub fn remove_expired(&mut self, now: f64) {
         self.store.remove_expired(now, &self.limits);
     }
 
-    /// How much is kept.
+    /// The current sizes of the store and the queue.
     pub fn sizes(&self) -> Sizes {
         Sizes {
             groups: self.store.groups(),
--- a/crates/facts/src/limits.rs
+++ b/crates/facts/src/limits.rs
@@ -1,29 +1,29 @@
-//! The settings of the store and of the queue.
+//! Limits of the store and the queue.
 
-/// Sizes and lifetimes of what is kept; all times in ms.
+/// Maximum sizes and lifetimes; all times are in ms.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Groups of which anything is kept; beyond it the oldest is dropped and counted.
+    /// Groups in the store; beyond this, the one with the oldest observation is evicted and counted.
     pub max_groups: usize,
-    /// Hosts of which anything is kept; beyond it the oldest is dropped and counted.
+    /// Hosts in the store; beyond this, the one with the oldest observation is evicted and counted.
     pub max_hosts: usize,
-    /// Origins kept of the complaints about one host.
+    /// Origins whose reports of a host as unresponsive, and likewise as slow, are stored.
     pub max_origins: usize,
-    /// How long a group's primary is of use.
+    /// How long an observed primary is valid.
     pub primary_lifetime: f64,
-    /// A digest covers the primaries observed within so long.
+    /// Maximum age of the primaries that a digest covers.
     pub digest_window: f64,
-    /// For so long after a router has learned a primary it asks others for more.
+    /// How long after learning a new primary a router pulls further ones from others.
     pub pull_window: f64,
-    /// How long a replica's lag is of use.
+    /// How long an observed replica lag is valid.
     pub replica_lag_lifetime: f64,
-    /// How long it is of use that a host was unresponsive or slow.
+    /// How long a report of an unresponsive or slow host is valid.
     pub degradation_lifetime: f64,
-    /// Facts dated further ahead than this are rejected: clocks may differ by no more.
+    /// Maximum clock skew between routers: facts with a timestamp further in the future are rejected.
     pub max_clock_skew: f64,
-    /// How often one fact is sent.
+    /// How many times a fact is sent.
     pub transmit_limit: u8,
-    /// Facts that wait to be sent; the oldest is dropped first.
+    /// Facts in the queue to be sent; the first one is dropped when it is full.
     pub max_queued: usize,
 }
 
--- a/crates/facts/src/queue.rs
+++ b/crates/facts/src/queue.rs
@@ -1,4 +1,4 @@
-//! Facts that wait to be sent, each a limited number of times.
+//! The queue of facts to be sent, each a limited number of times.
 
 use crate::{Fact, Limits};
 use std::cmp::Reverse;
@@ -9,14 +9,14 @@
     transmissions_left: u8,
 }
 
-/// Facts in the order in which they came.
+/// Queued facts; new ones are appended.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     facts: Vec<Queued>,
 }
 
 impl Queue {
-    /// Adds a fact in place of what it supersedes. Where the queue is full the first one is dropped.
+    /// Appends a fact and removes those that it supersedes. If the queue is full, the first fact is dropped.
     pub fn push(&mut self, fact: Fact, limits: &Limits) {
         self.facts.retain(|queued| !queued.fact.is_superseded_by(&fact));
         self.facts.push(Queued { fact, transmissions_left: limits.transmit_limit });
@@ -29,8 +29,8 @@
         self.facts.iter().any(|queued| queued.transmissions_left == limits.transmit_limit)
     }
 
-    /// Takes at most `limit` facts for one transmission, first what was sent least often; drops what has
-    /// expired.
+    /// Takes at most `limit` facts for one transmission, those sent least often first. Removes facts that
+    /// have expired or have been sent often enough.
     pub fn take(&mut self, now: f64, limit: usize, limits: &Limits) -> Vec<Fact> {
         self.facts.retain(|queued| queued.transmissions_left > 0 && !queued.fact.is_expired(now, limits));
         self.facts.sort_by_key(|queued| Reverse(queued.transmissions_left));
--- a/crates/facts/src/store.rs
+++ b/crates/facts/src/store.rs
@@ -1,46 +1,46 @@
-//! What is known of groups and hosts: the latest of each kind, of complaints the latest of a few origins.
+//! The merged state of groups and hosts: the latest primary and replica lag, and the latest reports of
+//! unresponsive or slow hosts from a few origins.
 
 use crate::latest::{LatestByOrigin, Stamp, Stamped};
 use crate::{Fact, GroupKey, HostKey, Limits, Observation};
 use std::collections::BTreeMap;
 
-/// The host that was seen as a group's primary.
+/// The host that was last observed as a group's primary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Primary {
-    /// The primary.
     pub host: HostKey,
-    /// When it was seen.
+    /// When it was observed, in Unix ms.
     pub observed_at: f64,
 }
 
-/// How far a replica lagged.
+/// The lag of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaLag {
     /// The lag in ms.
     pub ms: f64,
-    /// When it was seen.
+    /// When it was observed, in Unix ms.
     pub observed_at: f64,
 }
 
-/// How slow reads were, over all routers that reported slow ones.
+/// How slow a host's reads were, over all routers that reported slow reads.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencyRatio {
-    /// How many reads were slow.
+    /// The number of slow reads.
     pub reads: f64,
-    /// The mean time of these reads, as a multiple of what they usually take.
+    /// The mean latency of these reads as a multiple of the usual latency.
     pub ratio: f64,
 }
 
-/// How much is kept.
+/// Sizes of the store and the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sizes {
-    /// Groups of which something is known.
+    /// Groups with a known primary.
     pub groups: usize,
-    /// Hosts of which something is known.
+    /// Hosts with at least one known fact.
     pub hosts: usize,
-    /// Facts that wait to be sent.
+    /// Facts in the queue to be sent.
     pub queued: usize,
-    /// Groups and hosts dropped so far because there were more than the limits.
+    /// Groups and hosts evicted so far because the limits were exceeded.
     pub evicted: u64,
 }
 
@@ -50,33 +50,33 @@
     reads: u16,
 }
 
-/// What is known of one host.
+/// The known facts about one host.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Host {
     replica_lag: Option<Stamped<u32>>,
-    unresponsive: LatestByOrigin<()>,
-    slow: LatestByOrigin<SlowReads>,
+    unresponsive_reports: LatestByOrigin<()>,
+    slow_reads: LatestByOrigin<SlowReads>,
 }
 
 impl Host {
-    /// When anything was last observed of the host.
+    /// The time of the latest observation of the host.
     fn last_observed_at(&self) -> f64 {
-        let replica_lag = self.replica_lag.iter().map(|held| held.stamp.observed_at);
-        let unresponsive = self.unresponsive.iter().map(|held| held.stamp.observed_at);
-        let slow = self.slow.iter().map(|held| held.stamp.observed_at);
-        replica_lag.chain(unresponsive).chain(slow).fold(f64::NEG_INFINITY, f64::max)
+        let replica_lag = self.replica_lag.iter().map(|entry| entry.stamp.observed_at);
+        let unresponsive_reports = self.unresponsive_reports.iter().map(|entry| entry.stamp.observed_at);
+        let slow_reads = self.slow_reads.iter().map(|entry| entry.stamp.observed_at);
+        replica_lag.chain(unresponsive_reports).chain(slow_reads).fold(f64::NEG_INFINITY, f64::max)
     }
 
     fn merge_replica_lag(&mut self, stamp: Stamp, ms: u32) -> bool {
-        let new = self.replica_lag.is_none_or(|held| stamp.is_later_than(&held.stamp));
-        if new {
+        let is_new = self.replica_lag.is_none_or(|entry| stamp.is_later_than(&entry.stamp));
+        if is_new {
             self.replica_lag = Some(Stamped { stamp, value: ms });
         }
-        new
+        is_new
     }
 }
 
-/// All that is known.
+/// The merged state of all groups and hosts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Store {
     primaries: BTreeMap<GroupKey, Stamped<HostKey>>,
@@ -85,27 +85,27 @@
 }
 
 impl Store {
-    /// Takes a fact in; true if it changed what is known.
+    /// Merges a fact; returns whether it changed the state.
     pub fn merge(&mut self, fact: Fact, limits: &Limits) -> bool {
         let stamp = Stamp { observed_at: fact.observed_at, origin: fact.origin };
         match fact.observation {
             Observation::Primary { group, host } => self.merge_primary(stamp, group, host, limits),
             Observation::ReplicaLag { host, ms } => {
-                self.merge_host(host, limits, |held| held.merge_replica_lag(stamp, ms))
+                self.merge_host(host, limits, |entry| entry.merge_replica_lag(stamp, ms))
             }
-            Observation::Unresponsive { host } => self.merge_host(host, limits, |held| {
-                held.unresponsive.merge(Stamped { stamp, value: () }, limits.max_origins)
+            Observation::Unresponsive { host } => self.merge_host(host, limits, |entry| {
+                entry.unresponsive_reports.merge(Stamped { stamp, value: () }, limits.max_origins)
             }),
-            Observation::Slow { host, latency_percent, reads } => self.merge_host(host, limits, |held| {
+            Observation::Slow { host, latency_percent, reads } => self.merge_host(host, limits, |entry| {
                 let value = SlowReads { latency_percent, reads };
-                held.slow.merge(Stamped { stamp, value }, limits.max_origins)
+                entry.slow_reads.merge(Stamped { stamp, value }, limits.max_origins)
             }),
         }
     }
 
     fn merge_primary(&mut self, stamp: Stamp, group: GroupKey, host: HostKey, limits: &Limits) -> bool {
-        let held = self.primaries.get(&group);
-        if held.is_some_and(|held| !stamp.is_later_than(&held.stamp)) {
+        let entry = self.primaries.get(&group);
+        if entry.is_some_and(|entry| !stamp.is_later_than(&entry.stamp)) {
             return false;
         }
         self.primaries.insert(group, Stamped { stamp, value: host });
@@ -116,15 +116,15 @@
     }
 
     fn merge_host(&mut self, host: HostKey, limits: &Limits, merge: impl FnOnce(&mut Host) -> bool) -> bool {
-        let new = merge(self.hosts.entry(host).or_default());
+        let is_new = merge(self.hosts.entry(host).or_default());
         if self.hosts.len() > limits.max_hosts {
             self.remove_oldest_host();
         }
-        new
+        is_new
     }
 
     fn remove_oldest_primary(&mut self) {
-        let observed_at = |held: &Stamped<HostKey>| held.stamp.observed_at;
+        let observed_at = |entry: &Stamped<HostKey>| entry.stamp.observed_at;
         let oldest = self.primaries.iter().min_by(|a, b| observed_at(a.1).total_cmp(&observed_at(b.1)));
         if let Some(group) = oldest.map(|(group, _)| *group) {
             self.primaries.remove(&group);
@@ -141,43 +141,43 @@
         }
     }
 
-    /// Whether this host is held to be the group's primary, however long ago that was seen.
+    /// Whether this host is stored as the group's primary, however old the observation is.
     pub fn holds_primary(&self, group: GroupKey, host: HostKey) -> bool {
-        self.primaries.get(&group).is_some_and(|held| held.value == host)
+        self.primaries.get(&group).is_some_and(|entry| entry.value == host)
     }
 
     pub fn primary(&self, now: f64, group: GroupKey, limits: &Limits) -> Option<Primary> {
-        let held = self.primaries.get(&group)?;
-        let observed_at = held.stamp.observed_at;
-        (now - observed_at <= limits.primary_lifetime).then_some(Primary { host: held.value, observed_at })
+        let entry = self.primaries.get(&group)?;
+        let observed_at = entry.stamp.observed_at;
+        (now - observed_at <= limits.primary_lifetime).then_some(Primary { host: entry.value, observed_at })
     }
 
-    /// The primaries that were observed within the digest's window, in the order of their groups.
+    /// The primaries observed within the digest window, in ascending order of their groups.
     pub fn recent_primaries(&self, now: f64, limits: &Limits) -> Vec<Fact> {
-        let is_recent = |held: &Stamped<HostKey>| now - held.stamp.observed_at <= limits.digest_window;
-        let recent = self.primaries.iter().filter(|(_, held)| is_recent(held));
+        let is_recent = |entry: &Stamped<HostKey>| now - entry.stamp.observed_at <= limits.digest_window;
+        let recent = self.primaries.iter().filter(|(_, entry)| is_recent(entry));
         recent
-            .map(|(group, held)| Fact {
-                observation: Observation::Primary { group: *group, host: held.value },
-                origin: held.stamp.origin,
-                observed_at: held.stamp.observed_at,
+            .map(|(group, entry)| Fact {
+                observation: Observation::Primary { group: *group, host: entry.value },
+                origin: entry.stamp.origin,
+                observed_at: entry.stamp.observed_at,
             })
             .collect()
     }
 
     pub fn replica_lag(&self, now: f64, host: HostKey, limits: &Limits) -> Option<ReplicaLag> {
-        let held = self.hosts.get(&host)?.replica_lag?;
-        let (ms, observed_at) = (f64::from(held.value), held.stamp.observed_at);
+        let entry = self.hosts.get(&host)?.replica_lag?;
+        let (ms, observed_at) = (f64::from(entry.value), entry.stamp.observed_at);
         (now - observed_at <= limits.replica_lag_lifetime).then_some(ReplicaLag { ms, observed_at })
     }
 
-    /// How many other routers than `local` had no answer from a host.
+    /// How many routers other than `local` recently reported the host as unresponsive.
     pub fn unresponsive_reports(&self, now: f64, host: HostKey, local: u16, limits: &Limits) -> usize {
-        let Some(held) = self.hosts.get(&host) else { return 0 };
-        held.unresponsive.recent_of_others(now, limits.degradation_lifetime, local).count()
+        let Some(entry) = self.hosts.get(&host) else { return 0 };
+        entry.unresponsive_reports.recent_of_others(now, limits.degradation_lifetime, local).count()
     }
 
-    /// How slow the reads of other routers than `local` were.
+    /// How slow the reads of routers other than `local` were.
     pub fn latency_ratio(
         &self,
         now: f64,
@@ -185,9 +185,9 @@
         local: u16,
         limits: &Limits,
     ) -> Option<LatencyRatio> {
-        let held = self.hosts.get(&host)?;
+        let entry = self.hosts.get(&host)?;
         let (mut reads, mut sum) = (0.0, 0.0);
-        for slow in held.slow.recent_of_others(now, limits.degradation_lifetime, local) {
+        for slow in entry.slow_reads.recent_of_others(now, limits.degradation_lifetime, local) {
             let count = f64::from(slow.value.reads);
             reads += count;
             sum += count * f64::from(slow.value.latency_percent) / 100.0;
@@ -197,11 +197,12 @@
 
     pub fn remove_expired(&mut self, now: f64, limits: &Limits) {
         let age = |stamp: Stamp| now - stamp.observed_at;
-        self.primaries.retain(|_, held| age(held.stamp) <= limits.primary_lifetime);
+        self.primaries.retain(|_, entry| age(entry.stamp) <= limits.primary_lifetime);
         for host in self.hosts.values_mut() {
-            host.replica_lag = host.replica_lag.filter(|held| age(held.stamp) <= limits.replica_lag_lifetime);
-            host.unresponsive.remove_older(now, limits.degradation_lifetime);
-            host.slow.remove_older(now, limits.degradation_lifetime);
+            host.replica_lag =
+                host.replica_lag.filter(|entry| age(entry.stamp) <= limits.replica_lag_lifetime);
+            host.unresponsive_reports.remove_older(now, limits.degradation_lifetime);
+            host.slow_reads.remove_older(now, limits.degradation_lifetime);
         }
         self.hosts.retain(|_, host| *host != Host::default());
     }
@@ -214,7 +215,7 @@
         self.hosts.len()
     }
 
-    /// Groups and hosts dropped so far because there were more than the limits.
+    /// Groups and hosts evicted so far because the limits were exceeded.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
--- a/crates/facts/src/tests.rs
+++ b/crates/facts/src/tests.rs
@@ -1,4 +1,4 @@
-//! Facts in any order, from liars and from the past, beside a plain model.
+//! Merging of facts in any order, of invalid and of expired facts, checked against a simple model.
 
 use super::*;
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 
 const NOW: f64 = 1_000_000.0;
 
-fn set() -> Config {
+fn config() -> Config {
     Config { cases: 256, rng_seed: RngSeed::Fixed(31), failure_persistence: None, ..Config::default() }
 }
 
@@ -21,7 +21,8 @@
             reads
         }),
     ];
-    // No two facts of one origin and time that differ: a router says one thing at a time.
+    // Generated facts may share subject, origin and timestamp. A router makes one observation at a time, so
+    // that its facts don't: tests for which this matters filter them.
     (observation, 1u16..7, 0u32..5).prop_map(|(observation, origin, ago)| Fact {
         observation,
         origin,
@@ -37,8 +38,8 @@
     facts
 }
 
-/// What can be asked of a store, for all that the strategies name.
-fn known(facts: &Facts) -> String {
+/// The answers of a store to all queries about the groups and hosts that the strategies generate.
+fn query_all(facts: &Facts) -> String {
     let groups: Vec<_> = (0..3).map(|g| facts.primary(NOW, g)).collect();
     let hosts: Vec<_> = (0..4)
         .map(|h| (facts.replica_lag(NOW, h), facts.unresponsive_reports(NOW, h), facts.latency_ratio(NOW, h)))
@@ -46,9 +47,9 @@
     format!("{groups:?} {hosts:?}")
 }
 
-/// What doesn't fit is dropped, oldest first, and never without being counted.
+/// When a limit is exceeded, the oldest entry must be evicted, and each eviction counted.
 #[test]
-fn more_groups_and_hosts_than_the_limits_are_counted() {
+fn groups_and_hosts_beyond_the_limits_are_evicted_and_counted() {
     let limits = Limits { max_groups: 3, max_hosts: 2, ..Limits::default() };
     let mut facts = Facts::new(0, limits);
     for number in 0..5u32 {
@@ -61,47 +62,48 @@
     assert_eq!((facts.primary(4.0, 1), facts.primary(4.0, 2).map(|primary| primary.host)), (None, Some(2)));
 }
 
-/// Two routers that know different primaries: what the digest lets through is what the other lacks, nothing
-/// that it has, and a few rounds with other salts bring all over.
+/// Two routers know different primaries. The answer to a digest must contain only facts that the requester
+/// lacks, and after some rounds with different salts the requester must know them all.
 #[test]
-fn a_digest_brings_what_is_missing_and_nothing_else() {
+fn the_answer_to_a_digest_contains_only_missing_facts() {
     const GROUPS: u32 = 200;
-    let (mut asking, mut asked) = (Facts::new(0, Limits::default()), Facts::new(1, Limits::default()));
+    let (mut requester, mut responder) = (Facts::new(0, Limits::default()), Facts::new(1, Limits::default()));
     for group in 0..GROUPS {
         let fact = Fact {
             observation: Observation::Primary { group, host: group * 5 },
             origin: 7,
             observed_at: 1_000.25 + f64::from(group),
         };
-        asked.receive(2_000.0, fact);
+        responder.receive(2_000.0, fact);
         if group % 4 != 0 {
-            asking.receive(2_000.0, Fact { observed_at: fact.observed_at.floor(), ..fact });
+            requester.receive(2_000.0, Fact { observed_at: fact.observed_at.floor(), ..fact });
         }
     }
-    assert!(asking.should_pull(2_000.0) && !Facts::new(0, Limits::default()).should_pull(2_000.0));
-    let known = |facts: &Facts| (0..GROUPS).filter(|group| facts.primary(2_000.0, *group).is_some()).count();
-    assert_eq!(known(&asking), 150);
+    assert!(requester.should_pull(2_000.0) && !Facts::new(0, Limits::default()).should_pull(2_000.0));
+    let known_primaries =
+        |facts: &Facts| (0..GROUPS).filter(|group| facts.primary(2_000.0, *group).is_some()).count();
+    assert_eq!(known_primaries(&requester), 150);
     for salt in 0..20 {
-        let sent = asked.missing_from(2_000.0, &asking.digest(2_000.0, salt), 8);
+        let sent = responder.missing_from(2_000.0, &requester.digest(2_000.0, salt), 8);
         let is_known = |fact: &Fact| match fact.observation {
-            Observation::Primary { group, .. } => asking.primary(2_000.0, group).is_some(),
+            Observation::Primary { group, .. } => requester.primary(2_000.0, group).is_some(),
             _ => true,
         };
         assert!(!sent.iter().any(is_known), "{sent:?}");
         for fact in sent {
-            asking.receive(2_000.0, fact);
+            requester.receive(2_000.0, fact);
         }
     }
-    assert_eq!(known(&asking), 200);
-    // What is older than the digest's window is neither in it nor sent.
-    assert!(asked.missing_from(60_000.0, &Digest::empty(0), 8).is_empty());
+    assert_eq!(known_primaries(&requester), 200);
+    // Primaries older than the digest window are neither in a digest nor sent.
+    assert!(responder.missing_from(60_000.0, &Digest::empty(0), 8).is_empty());
 }
 
 proptest! {
-    #![proptest_config(set())]
+    #![proptest_config(config())]
 
     #[test]
-    fn any_order_and_any_repeats_merge_to_one_value(
+    fn facts_converge_in_any_order_and_with_repetitions(
         all in prop::collection::vec(fact(), 1..60), seed in any::<u64>()
     ) {
         let mut seen = std::collections::HashSet::new();
@@ -112,19 +114,19 @@
             Observation::Slow { host, .. } => (3, host, f.origin, f.observed_at as u64),
         };
         let mut all: Vec<Fact> = all.into_iter().filter(|f| seen.insert(key(f))).collect();
-        let first = known(&received(&all));
-        let (mut random, again) = (seed, all.clone());
-        all.extend(again);
+        let first = query_all(&received(&all));
+        let (mut random, repeated) = (seed, all.clone());
+        all.extend(repeated);
         for i in (1..all.len()).rev() {
             random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             all.swap(i, (random >> 33) as usize % (i + 1));
         }
-        prop_assert_eq!(first, known(&received(&all)));
+        prop_assert_eq!(first, query_all(&received(&all)));
     }
 
-    /// Beside a plain model: of a group the latest word, of a host the latest lag.
+    /// Checked against a simple model: the latest primary of a group and the latest lag of a host are stored.
     #[test]
-    fn the_latest_word_counts(all in prop::collection::vec(fact(), 1..60)) {
+    fn the_latest_observation_wins(all in prop::collection::vec(fact(), 1..60)) {
         let facts = received(&all);
         for group in 0..3 {
             let about = |f: &&Fact| {
@@ -132,7 +134,7 @@
             };
             let stamps = all.iter().filter(about).map(|f| (f.observed_at, f.origin));
             let last = stamps.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            prop_assert_eq!(facts.primary(NOW, group).map(|held| held.observed_at), last.map(|(at, _)| at));
+            prop_assert_eq!(facts.primary(NOW, group).map(|entry| entry.observed_at), last.map(|(at, _)| at));
         }
         for host in 0..4 {
             let about = |f: &&Fact| {
@@ -140,27 +142,27 @@
             };
             let times = all.iter().filter(about).map(|f| f.observed_at);
             let last = times.filter(|at| NOW - at <= 3_000.0).reduce(f64::max);
-            prop_assert_eq!(facts.replica_lag(NOW, host).map(|held| held.observed_at), last);
+            prop_assert_eq!(facts.replica_lag(NOW, host).map(|entry| entry.observed_at), last);
         }
     }
 
-    /// Whatever is told, from whenever: what is kept has its bounds, and ends.
+    /// Arbitrary facts with arbitrary timestamps stay within the limits of the store and expire.
     #[test]
-    fn whatever_comes_is_bounded_and_ends(
+    fn arbitrary_facts_are_bounded_and_expire(
         all in prop::collection::vec((any::<u32>(), any::<u16>(), -1e7f64..1e7, 0u8..4), 0..400)
     ) {
         let defaults = Limits::default();
         let limits = Limits { max_groups: 5, max_hosts: 7, max_origins: 2, max_queued: 9, ..defaults };
         let mut facts = Facts::new(0, limits);
-        for (key, origin, off, kind) in all {
+        for (key, origin, offset, kind) in all {
             let observation = match kind {
                 0 => Observation::Primary { group: key, host: key },
                 1 => Observation::ReplicaLag { host: key, ms: key },
                 2 => Observation::Unresponsive { host: key % 11 },
                 _ => Observation::Slow { host: key % 11, latency_percent: origin, reads: origin },
             };
-            let received = facts.receive(NOW, Fact { observation, origin, observed_at: NOW + off });
-            prop_assert!(off <= limits.max_clock_skew || received == Received::Rejected);
+            let received = facts.receive(NOW, Fact { observation, origin, observed_at: NOW + offset });
+            prop_assert!(offset <= limits.max_clock_skew || received == Received::Rejected);
             let Sizes { groups, hosts, queued, .. } = facts.sizes();
             prop_assert!(groups <= 5 && hosts <= 7 && queued <= 9);
             prop_assert!(facts.unresponsive_reports(NOW, key % 11) <= 2);
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn a_fact_is_sent_a_few_times_first_what_is_newest_and_not_what_others_have_said_enough() {
+fn a_fact_is_sent_a_limited_number_of_times_least_sent_first_and_not_if_reported_by_enough_others() {
     let mut facts = Facts::new(0, Limits { transmit_limit: 2, max_origins: 2, ..Limits::default() });
     assert!(facts.observe(NOW, Observation::Unresponsive { host: 1 }) && facts.has_unsent());
     assert_eq!(facts.facts_to_send(NOW, 9).len(), 1);
@@ -181,7 +183,7 @@
     let sent = facts.facts_to_send(NOW, 1);
     assert_eq!(sent[0].observation, Observation::Unresponsive { host: 2 });
     assert_eq!((facts.facts_to_send(NOW, 9).len(), facts.facts_to_send(NOW, 9).len()), (2, 0));
-    // Two others have said so of host 3: a third word brings nothing.
+    // Two other routers have reported host 3: a third report adds nothing and is not queued.
     for origin in [4, 5] {
         facts.receive(
             NOW,
@@ -193,7 +195,7 @@
 }
 
 #[test]
-fn own_words_that_come_back_and_words_of_the_future_change_nothing() {
+fn returned_own_facts_and_facts_from_the_future_are_not_merged() {
     let mut facts = Facts::new(3, Limits::default());
     let primary = Observation::Primary { group: 1, host: 9 };
     assert_eq!(
@@ -217,7 +219,7 @@
 }
 
 #[test]
-fn slow_reads_of_several_routers_count_together_without_ones_own() {
+fn slow_reads_of_other_routers_are_aggregated_without_own_ones() {
     let mut facts = Facts::new(0, Limits::default());
     facts.observe(NOW, Observation::Slow { host: 1, latency_percent: 900, reads: 50 });
     assert_eq!(facts.latency_ratio(NOW, 1), None);
--- a/crates/members/src/tests.rs
+++ b/crates/members/src/tests.rs
@@ -185,7 +185,8 @@
     tier.members[5] = None;
     tier.run(6_000.0);
     assert!(tier.views(5).iter().all(|s| *s == State::Left));
-    // It restarts with a clock that is 1 ms behind: the state of its earlier incarnation does not keep it out.
+    // It restarts with a clock that is 1 ms behind: the state of its earlier incarnation does not keep it
+    // out.
     tier.members[5] = Some(Members::new(5, 8, 0, 77, Limits::default()).unwrap());
     tier.run(20_000.0);
     assert!(tier.all_alive());
