--- a/crates/lab/tests/limit.rs
+++ b/crates/lab/tests/limit.rs
@@ -26,21 +26,21 @@
                 match no % 4 {
                     0 => drop(stream),
                     1 => {
-                        let mut client = Client(Messages::new(stream));
+                        let mut client = Client(MessageReader::new(stream));
                         let _ = std::io::Write::write_all(&mut client.0.stream, &[0, 0, 0, 9, 7, 7, 7, 7, 0]);
-                        client.answer();
+                        client.read_answer();
                     }
                     _ => {
                         let mut opening = Vec::new();
                         encode::startup_message(&mut opening, "svc", "main");
-                        let mut client = Client(Messages::new(stream));
+                        let mut client = Client(MessageReader::new(stream));
                         client.0.stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
                         let mut next = opening;
                         let mut asked = 0;
                         // Shown out, or still in the queue: the next connection.
                         while !stop.load(Relaxed)
                             && std::io::Write::write_all(&mut client.0.stream, &next).is_ok()
-                            && let Some(answer) = client.answer()
+                            && let Some(answer) = client.read_answer()
                         {
                             let fits = matches!(answer.code.as_deref(), None | Some("53300"));
                             assert!(fits, "{answer:?}");
@@ -61,13 +61,13 @@
 /// machine made of it: a fast build had time to spare and the test failed.
 #[test]
 fn at_its_limit_it_refuses_what_is_cheapest_reloads_stops_and_comes_back() {
-    let host = host(|_, _| Act::Say(served("v", "reader")));
-    let known = page(1, true, &[entry("s-1", host.addr, "Ready")]);
+    let host = spawn_host(|_, _| Action::Respond(read_response("v", "reader")));
+    let known = list_response(1, true, &[host_entry("s-1", host.addr, "Ready")]);
     // A grant of 50 ms a second and sends that take 5 ms each: the flood goes beyond it on any machine, as its clients
     // ask again at once, and an idle router does not.
     let limits = r#"{"cores":0.05,"memory_mb":32,"sockets":256}"#;
     let set = config("127.0.0.1:1".parse().unwrap(), &known, limits, &settings(15.0));
-    let mut router = staged(&set, &["--send-work-ms", "5"]);
+    let mut router = spawn_router_with_options(&set, &["--send-work-ms", "5"]);
     let (stop, shown_out) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let clients = flood(router.addr, &stop, &shown_out);
     wait_for(&router.log, "opens wait");
@@ -75,7 +75,7 @@
     router.signal("-HUP");
     wait_for(&router.log, "configuration read anew");
     // Those who never wait as they are told are let go between their ops.
-    let until = std::time::Instant::now() + PATIENCE;
+    let until = std::time::Instant::now() + TIMEOUT;
     while shown_out.load(Relaxed) == 0 {
         assert!(std::time::Instant::now() < until, "nobody was shown out");
         std::thread::yield_now();
@@ -86,7 +86,7 @@
         client.join().unwrap();
     }
     let look = statement("look", "k", "15000", "");
-    assert_eq!(Client::open(router.addr).ask(&look).value.as_deref(), Some("v"));
+    assert_eq!(Client::open(router.addr).request(&look).value.as_deref(), Some("v"));
     stop.store(false, Relaxed);
     let clients = flood(router.addr, &stop, &shown_out);
     wait_for(&router.log, "ops are refused");
--- a/crates/router/tests/router/moments.rs
+++ b/crates/router/tests/router/moments.rs
@@ -38,11 +38,11 @@
         let (tell, came) = channel();
         thread::spawn(move || {
             for stream in self.listener.incoming().map_while(Result::ok) {
-                let mut from = Messages::new(stream);
-                if from.startup().is_none() {
+                let mut from = MessageReader::new(stream);
+                if from.read_startup().is_none() {
                     continue;
                 }
-                drop(tell.send(from.kept().to_string()));
+                drop(tell.send(from.unparsed().to_string()));
                 thread::spawn(move || answer_on(from));
             }
         });
@@ -50,14 +50,14 @@
     }
 }
 
-fn answer_on(mut from: Messages) {
+fn answer_on(mut from: MessageReader) {
     use std::io::Write;
     let mut to = from.stream.try_clone().unwrap();
     let mut admits = Vec::new();
     magpiewell_pg::encode::startup_reply(&mut admits);
     drop(to.write_all(&admits));
-    while let Some((b'Q', _)) = from.next() {
-        drop(to.write_all(&served("late", "reader")));
+    while let Some((b'Q', _)) = from.next_message() {
+        drop(to.write_all(&read_response("late", "reader")));
     }
 }
 
@@ -75,9 +75,9 @@
 #[test]
 fn a_host_whose_connections_never_come_up_is_set_aside() {
     let host = late();
-    let known = page(1, true, &[entry("s-1", host.addr, "Ready")]);
+    let known = list_response(1, true, &[host_entry("s-1", host.addr, "Ready")]);
     let settings = settings(5.0).replace("\"probes\":false", "\"probes\":true");
-    let router = router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, &settings));
+    let router = spawn_router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, &settings));
     let mut client = Client::open(router.addr);
     client.write(&query(&statement("look", "k", "20000", "")));
     wait_for(&router.log, "set aside: probe unanswered");
@@ -85,7 +85,7 @@
 
 /// The op that a client has just written has been routed by now: its id is known.
 fn is_routed(router: &Router, statement: &str) -> bool {
-    Client::open(router.addr).ask(statement).code.as_deref() == Some("55006")
+    Client::open(router.addr).request(statement).code.as_deref() == Some("55006")
 }
 
 /// Seen on a deployment whose sends can't be withdrawn: what had not left yet left after the final answer, and a
@@ -94,9 +94,9 @@
 fn what_has_not_left_when_its_client_leaves_never_does() {
     for may_cancel in ["true", "false"] {
         let host = late();
-        let known = page(1, true, &[entry("s-1", host.addr, "Ready")]);
+        let known = list_response(1, true, &[host_entry("s-1", host.addr, "Ready")]);
         let settings = slow_to_open().replace("\"may_cancel\":true", &format!("\"may_cancel\":{may_cancel}"));
-        let router = router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, &settings));
+        let router = spawn_router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, &settings));
         let mut leaves = Client::open(router.addr);
         let op = statement("look", "gone", "20000", "");
         leaves.write(&query(&op));
@@ -105,11 +105,11 @@
         // Routed behind the news that the client has left, of a group that nobody has named.
         let mut stays = Client::open(router.addr);
         let unknown = statement("look", "k", "20000", "").replace("cluster=3", "cluster=9");
-        assert_eq!(stays.ask(&unknown).code.as_deref(), Some("53300"));
+        assert_eq!(stays.request(&unknown).code.as_deref(), Some("53300"));
         let came = host.open();
-        let answer = stays.ask(&statement("look", "stays", "20000", ""));
+        let answer = stays.request(&statement("look", "stays", "20000", ""));
         assert_eq!(answer.value.as_deref(), Some("late"));
-        let both = [came.recv_timeout(PATIENCE).unwrap(), came.recv_timeout(PATIENCE).unwrap()];
+        let both = [came.recv_timeout(TIMEOUT).unwrap(), came.recv_timeout(TIMEOUT).unwrap()];
         assert!(both.iter().all(|text| !text.contains("'gone'")), "{both:?}");
     }
 }
@@ -117,20 +117,20 @@
 /// A connection that opens within its own time may do so past the grace of a host that drains meanwhile.
 #[test]
 fn what_has_not_left_when_its_host_drains_goes_to_another() {
-    let (drains, other) = (late(), host(|_, _| Act::Say(served("other", "reader"))));
-    let list = list();
-    let router = router(&config(list.addr, "null", LIMITS, &slow_to_open()));
-    list.say(http(&page(1, true, &[entry("s-1", drains.addr, "Ready")])));
+    let (drains, other) = (late(), spawn_host(|_, _| Action::Respond(read_response("other", "reader"))));
+    let list = spawn_list();
+    let router = spawn_router(&config(list.addr, "null", LIMITS, &slow_to_open()));
+    list.respond(http_ok(&list_response(1, true, &[host_entry("s-1", drains.addr, "Ready")])));
     let mut client = Client::open(router.addr);
-    while !client.ask("").empty {}
+    while !client.request("").empty {}
     let op = statement("look", "waits", "20000", "");
     client.write(&query(&op));
     assert!(is_routed(&router, &op));
-    let news = [entry("s-1", drains.addr, "Terminating"), entry("s-2", other.addr, "Ready")];
-    list.say(http(&page(2, false, &news)));
-    assert_eq!(client.answer().unwrap().value.as_deref(), Some("other"));
+    let news = [host_entry("s-1", drains.addr, "Terminating"), host_entry("s-2", other.addr, "Ready")];
+    list.respond(http_ok(&list_response(2, false, &news)));
+    assert_eq!(client.read_answer().unwrap().value.as_deref(), Some("other"));
     // The connection opens all the same, and nothing is asked on it.
-    assert_eq!(drains.open().recv_timeout(PATIENCE).unwrap(), "");
+    assert_eq!(drains.open().recv_timeout(TIMEOUT).unwrap(), "");
 }
 
 /// A further attempt begins after its client has gone where only answering ends an op. Sends that can't be
@@ -138,11 +138,11 @@
 /// ask again.
 #[test]
 fn what_fails_after_its_client_left_is_not_tried_again() {
-    type End = (&'static str, fn() -> Act);
+    type End = (&'static str, fn() -> Action);
     let ends: [End; 3] = [
-        ("Full", || Act::Say(refused("53300"))),
-        ("Errored", || Act::Say(refused("XX000"))),
-        ("Reset", || Act::End(Vec::new())),
+        ("Full", || Action::Respond(error_response("53300"))),
+        ("Errored", || Action::Respond(error_response("XX000"))),
+        ("Reset", || Action::RespondAndClose(Vec::new())),
     ];
     for (ending, act) in ends {
         let (tell, release) = channel::<()>();
@@ -150,18 +150,21 @@
         let first = Arc::new(Mutex::new(Some(release)));
         let either = || {
             let first = first.clone();
-            host(move |_, _| {
+            spawn_host(move |_, _| {
                 let held = first.lock().unwrap().take();
-                let Some(held) = held else { return Act::Say(served("v", "reader")) };
+                let Some(held) = held else { return Action::Respond(read_response("v", "reader")) };
                 let _ = held.recv();
                 act()
             })
         };
         let hosts = [either(), either()];
-        let known =
-            page(1, true, &hosts.each_ref().map(|h| entry(&format!("s-{}", h.addr), h.addr, "Ready")));
+        let known = list_response(
+            1,
+            true,
+            &hosts.each_ref().map(|h| host_entry(&format!("s-{}", h.addr), h.addr, "Ready")),
+        );
         let settings = patient().replace("\"may_cancel\":true", "\"may_cancel\":false");
-        let router = router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, &settings));
+        let router = spawn_router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, &settings));
         let mut leaves = Client::open(router.addr);
         let op = statement("look", "gone", "3000000", "");
         leaves.write(&query(&op));
@@ -175,25 +178,25 @@
         // Taken behind that: by now a further attempt would have begun.
         let mut stays = Client::open(router.addr);
         for _ in 0..2 {
-            let answer = stays.ask(&statement("look", "stays", "3000000", ""));
+            let answer = stays.request(&statement("look", "stays", "3000000", ""));
             assert_eq!(answer.value.as_deref(), Some("v"), "{ending}");
         }
-        let asked = hosts.iter().flat_map(|h| h.asked.try_iter()).filter(|text| text.contains("'gone'"));
+        let asked = hosts.iter().flat_map(|h| h.queries.try_iter()).filter(|text| text.contains("'gone'"));
         assert_eq!(asked.count(), 1, "{ending}");
     }
 }
 
 /// Waits until the router knows that a client has left: the id of its op is free.
 fn is_free(router: &Router, op: &str, what: &str) {
-    let (mut asks, until) = (Client::open(router.addr), Instant::now() + PATIENCE);
-    while asks.ask(&op.replace("cluster=3", "cluster=9")).code.as_deref() == Some("55006") {
+    let (mut asks, until) = (Client::open(router.addr), Instant::now() + TIMEOUT);
+    while asks.request(&op.replace("cluster=3", "cluster=9")).code.as_deref() == Some("55006") {
         assert!(Instant::now() < until, "{what}: its op is still open");
     }
 }
 
 fn before(host: SocketAddr) -> Router {
-    let known = page(1, true, &[entry("s-1", host, "Ready")]);
-    router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, &patient()))
+    let known = list_response(1, true, &[host_entry("s-1", host, "Ready")]);
+    spawn_router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, &patient()))
 }
 
 /// Whose end once showed only after its ops had been answered: after an error, and while too many of its answers waited.
@@ -234,14 +237,14 @@
 /// Of an op that its client would wait for longer than the router lives nothing was heard but the end.
 #[test]
 fn what_is_open_as_the_router_ends_is_answered() {
-    let host = host(|_, _| Act::Silence);
+    let host = spawn_host(|_, _| Action::Ignore);
     let mut router = before(host.addr);
     let mut client = Client::open(router.addr);
     client.write(&query(&statement("post", "k", "3000000", "")));
-    host.asked.recv_timeout(PATIENCE).unwrap();
+    host.queries.recv_timeout(TIMEOUT).unwrap();
     router.signal("-TERM");
-    assert_eq!(client.answer().unwrap().code.as_deref(), Some("58000"));
-    assert_eq!((client.answer(), client.0.ended.as_str()), (None, "closed"));
+    assert_eq!(client.read_answer().unwrap().code.as_deref(), Some("58000"));
+    assert_eq!((client.read_answer(), client.0.end_reason.as_str()), (None, "closed"));
     assert!(router.child.wait().unwrap().success());
 }
 
@@ -250,32 +253,32 @@
 fn what_is_written_as_the_router_closes_is_dropped_and_takes_no_answer_with_it() {
     let (tell, release) = channel::<()>();
     let release = std::sync::Mutex::new(release);
-    let host = host(move |_, _| {
+    let host = spawn_host(move |_, _| {
         let _ = release.lock().unwrap().recv();
-        Act::Say(served("v", "reader"))
+        Action::Respond(read_response("v", "reader"))
     });
     let router = before(host.addr);
     let mut client = Client::open(router.addr);
     client.write(&query(&statement("look", "first", "3000000", "")));
-    host.asked.recv_timeout(PATIENCE).unwrap();
+    host.queries.recv_timeout(TIMEOUT).unwrap();
     router.signal("-TERM");
     wait_for(&router.log, "closing clients");
     // The router has read for the last time: a whole request, and half a one.
     let second = query(&statement("look", "second", "3000000", ""));
     client.write(&[&second[..], &second[..40]].concat());
     tell.send(()).unwrap();
-    assert_eq!(client.answer().unwrap().value.as_deref(), Some("v"));
-    assert_eq!((client.answer(), client.0.ended.as_str()), (None, "closed"));
+    assert_eq!(client.read_answer().unwrap().value.as_deref(), Some("v"));
+    assert_eq!((client.read_answer(), client.0.end_reason.as_str()), (None, "closed"));
     wait_for(&router.log, "stopped");
     // Reset behind the end of sending: seen only so.
     assert!(client.0.stream.take_error().unwrap().is_none());
-    assert!(host.asked.try_recv().is_err(), "nothing read after the end is sent on");
+    assert!(host.queries.try_recv().is_err(), "nothing read after the end is sent on");
 }
 
 /// Each once kept a router from ending: who writes without end, and a configuration that can't be read to its end.
 #[test]
 fn nobody_delays_the_end() {
-    let host = host(|_, _| Act::Say(served("v", "reader")));
+    let host = spawn_host(|_, _| Action::Respond(read_response("v", "reader")));
     let mut router = before(host.addr);
     // Several, as one that falls behind for a moment is closed in time.
     for _ in 0..4 {
@@ -285,8 +288,8 @@
             while std::io::Write::write_all(&mut endless.0.stream, &passed).is_ok() {}
         });
     }
-    std::fs::remove_file(&router.file).unwrap();
-    let fifo = std::process::Command::new("mkfifo").arg(&router.file).status().unwrap();
+    std::fs::remove_file(&router.config_path).unwrap();
+    let fifo = std::process::Command::new("mkfifo").arg(&router.config_path).status().unwrap();
     assert!(fifo.success());
     // Those behind the first come to nothing, the second request to stop changes nothing.
     ["-HUP", "-HUP", "-TERM", "-TERM", "-HUP"].iter().for_each(|signal| router.signal(signal));
@@ -309,9 +312,9 @@
     });
     let router = before(endless);
     let mut client = Client::open(router.addr);
-    let answer = client.ask(&statement("post", "k", "3000000", ""));
+    let answer = client.request(&statement("post", "k", "3000000", ""));
     assert_eq!(answer.code.as_deref(), Some("58000"));
-    wrote.recv_timeout(PATIENCE).unwrap();
+    wrote.recv_timeout(TIMEOUT).unwrap();
 }
 
 /// A host that admits each connection, and from the first query on does as told.
@@ -323,14 +326,14 @@
             let act = act.clone();
             thread::spawn(move || {
                 use std::io::Write;
-                let mut from = Messages::new(stream);
-                if from.startup().is_none() {
+                let mut from = MessageReader::new(stream);
+                if from.read_startup().is_none() {
                     return;
                 }
                 let mut admits = Vec::new();
                 magpiewell_pg::encode::startup_reply(&mut admits);
                 from.stream.write_all(&admits).unwrap();
-                if from.next().is_some() {
+                if from.next_message().is_some() {
                     act(from.stream);
                 }
             });
--- a/crates/router/tests/router/service.rs
+++ b/crates/router/tests/router/service.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 fn alone(host: SocketAddr, settings: &str) -> Router {
-    let known = page(1, true, &[entry("s-1", host, "Ready")]);
+    let known = list_response(1, true, &[host_entry("s-1", host, "Ready")]);
     // Nobody listens for the list there: the known one is all there is.
-    router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, settings))
+    spawn_router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, settings))
 }
 
 fn code(answer: &Answer) -> &str {
@@ -20,15 +20,15 @@
 
 #[test]
 fn an_op_passes_through_unchanged_but_for_its_wait() {
-    let host = host(|_, _| Act::Say(served("\\x9f03", "reader")));
+    let host = spawn_host(|_, _| Action::Respond(read_response("\\x9f03", "reader")));
     let mut router = alone(host.addr, &settings(5.0));
     // The first query right behind the startup message; marks inside the key are no marks.
     let first = statement("look", "a''/*c=post*/;--", "15000", "");
     let mut client = Client::connect(router.addr, &query(&first));
-    assert_eq!(client.answer(), Some(Answer::default()));
+    assert_eq!(client.read_answer(), Some(Answer::default()));
     let value = Some("\\x9f03".to_string());
-    assert_eq!(client.answer().unwrap().value, value);
-    let sent = host.asked.recv_timeout(PATIENCE).unwrap();
+    assert_eq!(client.read_answer().unwrap().value, value);
+    let sent = host.queries.recv_timeout(TIMEOUT).unwrap();
     let wait = sent.split(",d=").nth(1).unwrap().split(',').next().unwrap();
     assert!(wait.parse::<u64>().unwrap() <= 15_000, "{sent}");
     assert_eq!(sent.replace(&format!(",d={wait},"), ",d=15000,"), first);
@@ -38,26 +38,26 @@
     several.extend(query("SELECT 1"));
     several.extend(query(&statement("look", "k", "15000", "")));
     client.write(&several);
-    assert_eq!(client.answer().unwrap().value, value);
-    assert!(client.answer().unwrap().empty);
-    assert_eq!(code(&client.answer().unwrap()), "42601");
-    assert_eq!(client.answer().unwrap().value, value);
+    assert_eq!(client.read_answer().unwrap().value, value);
+    assert!(client.read_answer().unwrap().empty);
+    assert_eq!(code(&client.read_answer().unwrap()), "42601");
+    assert_eq!(client.read_answer().unwrap().value, value);
     // Byte by byte.
     for byte in query(&statement("look", "k", "15000", "")) {
         client.write(&[byte]);
     }
-    assert_eq!(client.answer().unwrap().value, value);
+    assert_eq!(client.read_answer().unwrap().value, value);
     // Two of the four were out at the same time.
-    assert!(*host.opened.lock().unwrap() <= 2, "a kept connection is used again");
+    assert!(*host.accepted.lock().unwrap() <= 2, "a kept connection is used again");
     assert!(router.stop().success());
 }
 
 #[test]
 fn handshakes_that_are_not_spoken_here() {
-    let host = host(|_, _| Act::Silence);
+    let host = spawn_host(|_, _| Action::Ignore);
     let router = alone(host.addr, &settings(1.0));
     for request in [80877103u32, 80877104] {
-        let mut client = Client(Messages::new(TcpStream::connect(router.addr).unwrap()));
+        let mut client = Client(MessageReader::new(TcpStream::connect(router.addr).unwrap()));
         client.write(&[8u32.to_be_bytes(), request.to_be_bytes()].concat());
         let mut no = [0];
         std::io::Read::read_exact(&mut client.0.stream, &mut no).unwrap();
@@ -65,54 +65,58 @@
         let mut opening = Vec::new();
         encode::startup_message(&mut opening, "svc", "main");
         client.write(&opening);
-        assert_eq!(client.answer(), Some(Answer::default()));
+        assert_eq!(client.read_answer(), Some(Answer::default()));
     }
-    let mut client = Client(Messages::new(TcpStream::connect(router.addr).unwrap()));
+    let mut client = Client(MessageReader::new(TcpStream::connect(router.addr).unwrap()));
     client.write(&[&16u32.to_be_bytes()[..], &80877102u32.to_be_bytes(), &[0; 8]].concat());
-    assert!(client.answer().is_none(), "a request to cancel is closed");
+    assert!(client.read_answer().is_none(), "a request to cancel is closed");
 }
 
 /// Each row of the protocol's table: what a host does with an op that must never run twice shows whether it
 /// counts as never run (a busy reply is then harmless) or not (an error, which promises nothing).
 #[test]
 fn endings_of_sends() {
-    type Row = (&'static str, fn() -> Act, &'static str);
+    type Row = (&'static str, fn() -> Action, &'static str);
     let rows: [Row; 13] = [
-        ("served", || Act::Say(written("v")), "none"),
-        ("served, then closed", || Act::End(tagged("v", "INSERT 0 1")), "none"),
-        ("no primary", || Act::Say(refused("25006")), "53300"),
-        ("turned away", || Act::Say(refused("53300")), "53300"),
-        ("turned away, then closed", || Act::End(refused("53300")), "53300"),
-        ("an error", || Act::Say(refused("XX000")), "58000"),
-        ("an unknown error", || Act::Say(refused("08P01")), "58000"),
-        ("closed after the last byte", || Act::End(Vec::new()), "58000"),
-        ("closed inside the answer", || Act::End(row("v")[..20].to_vec()), "58000"),
-        ("nothing", || Act::Silence, "58000"),
-        ("a second row", || Act::Say([tagged("v", "INSERT 0 1"), written("w")].concat()), "58000"),
-        ("no row", || Act::Say(encode::READY_FOR_QUERY.to_vec()), "58000"),
-        ("no protocol", || Act::Say(vec![b'D', 0, 0, 0, 1, 7]), "58000"),
+        ("served", || Action::Respond(write_response("v")), "none"),
+        ("served, then closed", || Action::RespondAndClose(row_with_tag("v", "INSERT 0 1")), "none"),
+        ("no primary", || Action::Respond(error_response("25006")), "53300"),
+        ("turned away", || Action::Respond(error_response("53300")), "53300"),
+        ("turned away, then closed", || Action::RespondAndClose(error_response("53300")), "53300"),
+        ("an error", || Action::Respond(error_response("XX000")), "58000"),
+        ("an unknown error", || Action::Respond(error_response("08P01")), "58000"),
+        ("closed after the last byte", || Action::RespondAndClose(Vec::new()), "58000"),
+        ("closed inside the answer", || Action::RespondAndClose(row("v")[..20].to_vec()), "58000"),
+        ("nothing", || Action::Ignore, "58000"),
+        (
+            "a second row",
+            || Action::Respond([row_with_tag("v", "INSERT 0 1"), write_response("w")].concat()),
+            "58000",
+        ),
+        ("no row", || Action::Respond(encode::READY_FOR_QUERY.to_vec()), "58000"),
+        ("no protocol", || Action::Respond(vec![b'D', 0, 0, 0, 1, 7]), "58000"),
     ];
     for (what, act, expected) in rows {
-        let host = host(move |_, _| act());
+        let host = spawn_host(move |_, _| act());
         let router = alone(host.addr, &settings(0.4));
-        let answer = Client::open(router.addr).ask(&statement("post", "k", "600", ""));
+        let answer = Client::open(router.addr).request(&statement("post", "k", "600", ""));
         assert_eq!(code(&answer), expected, "{what}");
         assert_eq!(answer.value.is_some(), expected == "none", "{what}");
     }
     // No connection, one that never comes up, and one that the host does not admit.
     let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let answer = Client::open(alone(free, &settings(0.4)).addr).ask(&statement("post", "k", "600", ""));
+    let answer = Client::open(alone(free, &settings(0.4)).addr).request(&statement("post", "k", "600", ""));
     assert_eq!(code(&answer), "53300", "refused connection");
     let full = TcpListener::bind("127.0.0.1:0").unwrap();
     let router = alone(full.local_addr().unwrap(), &settings(0.4));
     std::thread::spawn(move || {
         for stream in full.incoming().map_while(Result::ok) {
-            let mut to = Messages::new(stream);
-            to.startup();
-            drop(std::io::Write::write_all(&mut to.stream, &refused("53300")));
+            let mut to = MessageReader::new(stream);
+            to.read_startup();
+            drop(std::io::Write::write_all(&mut to.stream, &error_response("53300")));
         }
     });
-    let answer = Client::open(router.addr).ask(&statement("post", "k", "600", ""));
+    let answer = Client::open(router.addr).request(&statement("post", "k", "600", ""));
     assert_eq!(code(&answer), "53300", "not admitted");
 }
 
@@ -133,65 +137,74 @@
         ("a value of 3 GB", d(3 << 30, (3 << 30) - 10)),
         ("a row without room for its value", d(9, 6)),
         ("a negative length", d(u32::MAX - 15, 6)),
-        ("another count of columns", patch(fits.clone(), &[0, 1], &[0, 2])),
-        ("a description that does not fit", patch(served("\\x9f03", "writer"), &[0x1a], &[0x1b])),
-        ("another command's completion", patch(served("\\x9f03", "writer"), b"SELECT 1", b"SELECT 9")),
-        ("no readiness", patch(served("\\x9f03", "writer"), &[0, 0, 0, 5, b'I'], &[0, 0, 0, 6, b'I'])),
+        ("another count of columns", replace_first(fits.clone(), &[0, 1], &[0, 2])),
+        (
+            "a description that does not fit",
+            replace_first(read_response("\\x9f03", "writer"), &[0x1a], &[0x1b]),
+        ),
+        (
+            "another command's completion",
+            replace_first(read_response("\\x9f03", "writer"), b"SELECT 1", b"SELECT 9"),
+        ),
+        (
+            "no readiness",
+            replace_first(read_response("\\x9f03", "writer"), &[0, 0, 0, 5, b'I'], &[0, 0, 0, 6, b'I']),
+        ),
         ("an error without a code", message(b'E', b"SERROR\0Mx\0\0")),
         ("a row before its description", fits.clone()),
     ];
     for (what, bytes) in spoilt {
-        let whole = served("\\x9f03", "writer");
+        let whole = read_response("\\x9f03", "writer");
         let inside = if bytes[0] == b'D' && what != "a row before its description" {
-            patch(whole.clone(), &fits, &bytes)
+            replace_first(whole.clone(), &fits, &bytes)
         } else {
             bytes
         };
-        let host = host(move |nth, text| match nth {
-            0 => Act::Say(inside.clone()),
-            _ if text.starts_with("INSERT") => Act::Say(written("x")),
-            _ => Act::Say(served("x", "reader")),
+        let host = spawn_host(move |nth, text| match nth {
+            0 => Action::Respond(inside.clone()),
+            _ if text.starts_with("INSERT") => Action::Respond(write_response("x")),
+            _ => Action::Respond(read_response("x", "reader")),
         });
         let router = alone(host.addr, &settings(15.0));
         let mut client = Client::open(router.addr);
         // A read is asked again, on another connection.
-        let answer = client.ask(&statement("look", "k", "20000", ""));
+        let answer = client.request(&statement("look", "k", "20000", ""));
         assert_eq!(answer.value.as_deref(), Some("x"), "{what}: {answer:?}");
-        assert_eq!(*host.opened.lock().unwrap(), 2, "{what}");
+        assert_eq!(*host.accepted.lock().unwrap(), 2, "{what}");
         wait_for(&router.log, "ending=Spoilt");
     }
     // What must never run twice ends as an error at once, though its time is far from up.
-    let host = host(|_, _| Act::Say(b"noise that nobody can read".to_vec()));
+    let host = spawn_host(|_, _| Action::Respond(b"noise that nobody can read".to_vec()));
     let answer =
-        Client::open(alone(host.addr, &settings(15.0)).addr).ask(&statement("post", "k", "20000", ""));
+        Client::open(alone(host.addr, &settings(15.0)).addr).request(&statement("post", "k", "20000", ""));
     assert_eq!(code(&answer), "58000");
 }
 
 /// A second copy once turned a good answer into an error. What comes late is found before the next use.
 #[test]
 fn a_good_answer_with_more_behind_it_is_served() {
-    let more = [served("w", "reader"), b"noise\r\n\r\n".to_vec(), parameter("usage", "")];
+    let more = [read_response("w", "reader"), b"noise\r\n\r\n".to_vec(), parameter_status("usage", "")];
     for extra in more {
-        let said = [parameter("server_role", "%%%"), served("v", "reader"), extra].concat();
-        let host = host(move |_, _| Act::Say(said.clone()));
+        let said = [parameter_status("server_role", "%%%"), read_response("v", "reader"), extra].concat();
+        let host = spawn_host(move |_, _| Action::Respond(said.clone()));
         let router = alone(host.addr, &settings(15.0));
         let mut client = Client::open(router.addr);
         for _ in 0..3 {
-            let answer = client.ask(&statement("look", "k", "20000", ""));
+            let answer = client.request(&statement("look", "k", "20000", ""));
             assert_eq!(answer.value.as_deref(), Some("v"));
         }
-        assert_eq!(*host.opened.lock().unwrap(), 3, "no connection is used again");
+        assert_eq!(*host.accepted.lock().unwrap(), 3, "no connection is used again");
     }
 }
 
 #[test]
 fn a_connection_that_its_host_closed_is_given_up_while_idle() {
-    let host = host(|_, _| Act::End(written("v")));
+    let host = spawn_host(|_, _| Action::RespondAndClose(write_response("v")));
     let router = alone(host.addr, &settings(5.0));
     let mut client = Client::open(router.addr);
     for _ in 0..2 {
         // Must never run twice: written to a closed connection it would end as an error.
-        let answer = client.ask(&statement("post", "k", "15000", ""));
+        let answer = client.request(&statement("post", "k", "15000", ""));
         assert_eq!(answer.value.as_deref(), Some("v"), "{answer:?}");
         wait_for(&router.log, "given up");
     }
@@ -200,13 +213,16 @@
 /// A withdrawn send once counted as the host's reset and set the host aside.
 #[test]
 fn a_client_that_leaves_takes_its_send_back_and_nothing_else() {
-    let host = host(|nth, _| if nth == 0 { Act::Silence } else { Act::Say(served("v", "reader")) });
+    let host =
+        spawn_host(
+            |nth, _| if nth == 0 { Action::Ignore } else { Action::Respond(read_response("v", "reader")) },
+        );
     let mut router = alone(host.addr, &settings(5.0));
     let mut client = Client::open(router.addr);
     client.write(&query(&statement("look", "k", "15000", "")));
-    host.asked.recv_timeout(PATIENCE).unwrap();
+    host.queries.recv_timeout(TIMEOUT).unwrap();
     client.0.stream.shutdown(Shutdown::Both).unwrap();
-    let answer = Client::open(router.addr).ask(&statement("look", "k", "15000", ""));
+    let answer = Client::open(router.addr).request(&statement("look", "k", "15000", ""));
     assert_eq!(answer.value.as_deref(), Some("v"));
     assert!(router.stop().success());
     assert!(router.log.iter().all(|line| !line.contains("set aside")));
@@ -214,7 +230,7 @@
 
 #[test]
 fn bad_input_gets_a_defined_answer_and_no_send() {
-    let host = host(|_, _| Act::Say(served("v", "reader")));
+    let host = spawn_host(|_, _| Action::Respond(read_response("v", "reader")));
     let router = alone(host.addr, &settings(5.0));
     let mut client = Client::open(router.addr);
     let good = statement("look", "k", "15000", "");
@@ -245,87 +261,90 @@
     // Some at a time: one who goes on with nothing but faults is shown out.
     for some in wrong.chunks(8) {
         for text in some {
-            assert_eq!(code(&client.ask(text)), "42601", "{text}");
+            assert_eq!(code(&client.request(text)), "42601", "{text}");
         }
-        assert_eq!(client.ask(&statement("look", "k", "15000", "")).value.as_deref(), Some("v"));
-        host.asked.try_recv().unwrap();
+        assert_eq!(client.request(&statement("look", "k", "15000", "")).value.as_deref(), Some("v"));
+        host.queries.try_recv().unwrap();
     }
     let mut stubborn = Client::open(router.addr);
     stubborn.write(&query("frob").repeat(60));
-    let answers = std::iter::from_fn(|| stubborn.answer()).inspect(|a| assert_eq!(code(a), "42601"));
+    let answers = std::iter::from_fn(|| stubborn.read_answer()).inspect(|a| assert_eq!(code(a), "42601"));
     assert!((2..60).contains(&answers.count()));
     // A group that no list has named: nothing was sent, so trying again is harmless.
-    assert_eq!(code(&client.ask(&good.replace("cluster=3", "cluster=9"))), "53300");
+    assert_eq!(code(&client.request(&good.replace("cluster=3", "cluster=9"))), "53300");
     client.write(&[&encode::query_header(2)[..], &[0xc3, 0x28, 0]].concat());
-    assert_eq!(code(&client.answer().unwrap()), "22021");
+    assert_eq!(code(&client.read_answer().unwrap()), "22021");
     // Extended messages: an error, and nothing more until the next sync.
     client.write(&[b'P', 0, 0, 0, 4, b'B', 0, 0, 0, 4, b'S', 0, 0, 0, 4]);
-    assert_eq!(code(&client.answer().unwrap()), "0A000");
-    assert!(host.asked.try_recv().is_err(), "nothing was sent");
-    assert_eq!(client.ask(&good).value.as_deref(), Some("v"));
+    assert_eq!(code(&client.read_answer().unwrap()), "0A000");
+    assert!(host.queries.try_recv().is_err(), "nothing was sent");
+    assert_eq!(client.request(&good).value.as_deref(), Some("v"));
     let hidden = b"Q\0\0\0\x0bfrob\0XX";
     for fatal in
         [&[b'Q', 0, 0, 0, 1][..], &[b'Q', 0x7f, 0, 0, 0], &[b'?', 0, 0, 0, 4], b"Q\0\0\0\x05x", hidden]
     {
         let mut client = Client::open(router.addr);
         client.write(fatal);
-        assert_eq!(code(&client.answer().unwrap()), "08P01", "{fatal:?}");
-        assert!(client.answer().is_none());
+        assert_eq!(code(&client.read_answer().unwrap()), "08P01", "{fatal:?}");
+        assert!(client.read_answer().is_none());
     }
     for fatal in [&[0, 0, 0, 7, 0, 3, 0, 0][..], &[0x7f, 0, 0, 0, 0, 3, 0, 0], &[0, 0, 0, 8, 0, 2, 0, 0]] {
-        let mut client = Client(Messages::new(TcpStream::connect(router.addr).unwrap()));
+        let mut client = Client(MessageReader::new(TcpStream::connect(router.addr).unwrap()));
         client.write(fatal);
-        assert!(["08P01", "0A000"].contains(&code(&client.answer().unwrap())), "{fatal:?}");
-        assert!(client.answer().is_none());
+        assert!(["08P01", "0A000"].contains(&code(&client.read_answer().unwrap())), "{fatal:?}");
+        assert!(client.read_answer().is_none());
     }
 }
 
 /// Such clients once stayed for good, and took the places of those who ask.
 #[test]
 fn who_says_nothing_or_half_is_shown_out() {
-    let host = host(|_, _| Act::Say(served("v", "reader")));
-    let known = page(1, true, &[entry("s-1", host.addr, "Ready")]);
+    let host = spawn_host(|_, _| Action::Respond(read_response("v", "reader")));
+    let known = list_response(1, true, &[host_entry("s-1", host.addr, "Ready")]);
     let limits = r#"{"cores":1.0,"memory_mb":32,"sockets":64}"#;
-    let router = router(&config("127.0.0.1:1".parse().unwrap(), &known, limits, &settings(15.0)));
-    let silent = || Client(Messages::new(TcpStream::connect(router.addr).unwrap()));
+    let router = spawn_router(&config("127.0.0.1:1".parse().unwrap(), &known, limits, &settings(15.0)));
+    let silent = || Client(MessageReader::new(TcpStream::connect(router.addr).unwrap()));
     let mut quiet: Vec<Client> = (0..300).map(|_| silent()).collect();
     // Far more than there is room for, and yet the next one is served.
     let look = statement("look", "k", "15000", "");
-    assert_eq!(Client::open(router.addr).ask(&look).value.as_deref(), Some("v"));
-    assert!(quiet.iter_mut().all(|client| client.answer().is_none()));
+    assert_eq!(Client::open(router.addr).request(&look).value.as_deref(), Some("v"));
+    assert!(quiet.iter_mut().all(|client| client.read_answer().is_none()));
     let mut half = Client::open(router.addr);
     half.write(&query(&look)[..40]);
     // What was asked before is answered before it is told why it goes.
     let mut behind = Client::open(router.addr);
     behind.write(&[&query(&look)[..], &query(&look)[..40]].concat());
-    assert_eq!(behind.answer().unwrap().value.as_deref(), Some("v"));
+    assert_eq!(behind.read_answer().unwrap().value.as_deref(), Some("v"));
     for mut client in [half, behind] {
-        assert_eq!(code(&client.answer().unwrap()), "08P01");
-        assert!(client.answer().is_none());
+        assert_eq!(code(&client.read_answer().unwrap()), "08P01");
+        assert!(client.read_answer().is_none());
     }
     // A message too long to be taken is refused on its head, and its writer still reads why.
     let mut endless = Client::open(router.addr);
     endless.write(&[&encode::query_header(60 << 20)[..], &[b'x'; 100_000]].concat());
-    assert_eq!(code(&endless.answer().unwrap()), "08P01");
+    assert_eq!(code(&endless.read_answer().unwrap()), "08P01");
 }
 
 /// Clients that asked once and stayed once held all connections that clients may have.
 #[test]
 fn in_a_crowd_who_asked_and_stays_is_shown_out() {
-    let host = host(|nth, _| if nth == 0 { Act::Silence } else { Act::Say(served("v", "reader")) });
-    let known = page(1, true, &[entry("s-1", host.addr, "Ready")]);
+    let host =
+        spawn_host(
+            |nth, _| if nth == 0 { Action::Ignore } else { Action::Respond(read_response("v", "reader")) },
+        );
+    let known = list_response(1, true, &[host_entry("s-1", host.addr, "Ready")]);
     let limits = r#"{"cores":1.0,"memory_mb":32,"sockets":64}"#;
-    let router = router(&config("127.0.0.1:1".parse().unwrap(), &known, limits, &settings(9.0)));
+    let router = spawn_router(&config("127.0.0.1:1".parse().unwrap(), &known, limits, &settings(9.0)));
     let look = |wait| statement("look", "k", wait, "");
     // One whose op is open for longer stays.
     let mut busy = Client::open(router.addr);
     busy.write(&query(&look("4000")));
-    host.asked.recv_timeout(PATIENCE).unwrap();
+    host.queries.recv_timeout(TIMEOUT).unwrap();
     let mut idle: Vec<Client> = (0..9).map(|_| Client::open(router.addr)).collect();
     for client in &mut idle {
-        assert_eq!(client.ask(&look("15000")).value.as_deref(), Some("v"));
+        assert_eq!(client.request(&look("15000")).value.as_deref(), Some("v"));
     }
-    assert!(busy.answer().is_some());
+    assert!(busy.read_answer().is_some());
     // By now the first two or so have been idle for long enough.
     let mut shown_out = 0;
     for client in &idle {
@@ -334,111 +353,116 @@
         client.0.stream.set_nonblocking(false).unwrap();
     }
     assert!(shown_out > 0);
-    assert_eq!(Client::open(router.addr).ask(&look("15000")).value.as_deref(), Some("v"));
+    assert_eq!(Client::open(router.addr).request(&look("15000")).value.as_deref(), Some("v"));
 }
 
 #[test]
 fn the_id_of_an_open_op_is_refused_and_the_op_untouched() {
     let (tell, release) = std::sync::mpsc::channel::<()>();
     let release = std::sync::Mutex::new(release);
-    let host = host(move |_, _| {
+    let host = spawn_host(move |_, _| {
         let _ = release.lock().unwrap().recv();
-        Act::Say(served("v", "reader"))
+        Action::Respond(read_response("v", "reader"))
     });
     let router = alone(host.addr, &settings(15.0));
     let look = statement("look", "k", "15000", "");
     let (mut first, mut other) = (Client::open(router.addr), Client::open(router.addr));
     first.write(&query(&look));
-    host.asked.recv_timeout(PATIENCE).unwrap();
-    assert_eq!(code(&other.ask(&look)), "55006");
+    host.queries.recv_timeout(TIMEOUT).unwrap();
+    assert_eq!(code(&other.request(&look)), "55006");
     tell.send(()).unwrap();
-    assert_eq!(first.answer().unwrap().value.as_deref(), Some("v"));
-    assert!(host.asked.try_recv().is_err());
+    assert_eq!(first.read_answer().unwrap().value.as_deref(), Some("v"));
+    assert!(host.queries.try_recv().is_err());
     // Once it is answered the id is free.
     tell.send(()).unwrap();
-    assert_eq!(other.ask(&look).value.as_deref(), Some("v"));
+    assert_eq!(other.request(&look).value.as_deref(), Some("v"));
 }
 
 #[test]
 fn news_of_the_list_and_its_failures() {
-    let (old, new) =
-        (host(|_, _| Act::Say(served("old", "reader"))), host(|_, _| Act::Say(served("new", "reader"))));
-    let list = list();
-    let router = router(&config(list.addr, "null", LIMITS, &settings(5.0)));
-    assert!(list.calls.recv_timeout(PATIENCE).unwrap().starts_with("GET /discovery/hosts HTTP"));
+    let (old, new) = (
+        spawn_host(|_, _| Action::Respond(read_response("old", "reader"))),
+        spawn_host(|_, _| Action::Respond(read_response("new", "reader"))),
+    );
+    let list = spawn_list();
+    let router = spawn_router(&config(list.addr, "null", LIMITS, &settings(5.0)));
+    assert!(list.requests.recv_timeout(TIMEOUT).unwrap().starts_with("GET /discovery/hosts HTTP"));
     let mut client = Client::open(router.addr);
-    assert_eq!(code(&client.ask("")), "57P03", "not ready without a list");
-    let whole = page(41, true, &[entry("s-1", old.addr, "Ready")]);
-    list.say(http(&whole));
-    let watch = list.calls.recv_timeout(PATIENCE).unwrap();
+    assert_eq!(code(&client.request("")), "57P03", "not ready without a list");
+    let whole = list_response(41, true, &[host_entry("s-1", old.addr, "Ready")]);
+    list.respond(http_ok(&whole));
+    let watch = list.requests.recv_timeout(TIMEOUT).unwrap();
     assert!(watch.starts_with("GET /discovery/hosts?after=41&wait_ms="), "{watch}");
     let good = statement("look", "k", "15000", "");
-    while !client.ask("").empty {}
-    assert_eq!(client.ask(&good).value.as_deref(), Some("old"));
+    while !client.request("").empty {}
+    assert_eq!(client.request(&good).value.as_deref(), Some("old"));
     // Calls that fail: each is asked again, and what was known stays.
-    let odd = entry("s-1", old.addr, "Ready").replace("127.0.0.1:", "nowhere:");
+    let odd = host_entry("s-1", old.addr, "Ready").replace("127.0.0.1:", "nowhere:");
     let failures = [
-        http("{"),
-        http(&page(42, true, &[odd])),
-        http("{\"version\":42}"),
+        http_ok("{"),
+        http_ok(&list_response(42, true, &[odd])),
+        http_ok("{\"version\":42}"),
         b"HTTP/1.1 500 No\r\n\r\n".to_vec(),
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".to_vec(),
         b"nothing of the kind\r\n\r\n".to_vec(),
     ];
     for failure in failures {
         let text = String::from_utf8_lossy(&failure).into_owned();
-        list.say(failure);
-        assert_eq!(list.calls.recv_timeout(PATIENCE).unwrap(), watch, "{text}");
+        list.respond(failure);
+        assert_eq!(list.requests.recv_timeout(TIMEOUT).unwrap(), watch, "{text}");
     }
-    assert_eq!(client.ask(&good).value.as_deref(), Some("old"));
+    assert_eq!(client.request(&good).value.as_deref(), Some("old"));
     // The same host at another address, told in chunks; the next call follows at once.
-    let moved = page(43, false, &[entry("s-1", new.addr, "Ready")]);
+    let moved = list_response(43, false, &[host_entry("s-1", new.addr, "Ready")]);
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let chunked = format!("{head}{:x}\r\n{moved}\r\n0\r\n\r\n", moved.len());
-    list.say(chunked.into_bytes());
-    assert!(list.calls.recv_timeout(PATIENCE).unwrap().contains("after=43"));
-    while client.ask(&good).value.as_deref() != Some("new") {}
+    list.respond(chunked.into_bytes());
+    assert!(list.requests.recv_timeout(TIMEOUT).unwrap().contains("after=43"));
+    while client.request(&good).value.as_deref() != Some("new") {}
     // Without a length the answer ends with its connection.
-    let back = page(44, false, &[entry("s-1", old.addr, "Ready")]);
-    list.say(format!("HTTP/1.1 200 OK\r\n\r\n{back}").into_bytes());
-    assert!(list.calls.recv_timeout(PATIENCE).unwrap().contains("after=44"));
-    while client.ask(&good).value.as_deref() != Some("old") {}
+    let back = list_response(44, false, &[host_entry("s-1", old.addr, "Ready")]);
+    list.respond(format!("HTTP/1.1 200 OK\r\n\r\n{back}").into_bytes());
+    assert!(list.requests.recv_timeout(TIMEOUT).unwrap().contains("after=44"));
+    while client.request(&good).value.as_deref() != Some("old") {}
 }
 
 /// SIGHUP once ended the router. The watch at the old address is still out when the new one is called.
 #[test]
 fn a_new_configuration_is_taken_whole_or_not_at_all() {
-    let (old, new) =
-        (host(|_, _| Act::Say(served("old", "reader"))), host(|_, _| Act::Say(served("new", "reader"))));
-    let (first, second) = (list(), list());
+    let (old, new) = (
+        spawn_host(|_, _| Action::Respond(read_response("old", "reader"))),
+        spawn_host(|_, _| Action::Respond(read_response("new", "reader"))),
+    );
+    let (first, second) = (spawn_list(), spawn_list());
     let good = |at| config(at, "null", LIMITS, &settings(5.0));
-    let mut router = router(&good(first.addr));
-    first.say(http(&page(41, true, &[entry("s-1", old.addr, "Ready")])));
-    while !first.calls.recv_timeout(PATIENCE).unwrap().contains("after=41") {}
+    let mut router = spawn_router(&good(first.addr));
+    first.respond(http_ok(&list_response(41, true, &[host_entry("s-1", old.addr, "Ready")])));
+    while !first.requests.recv_timeout(TIMEOUT).unwrap().contains("after=41") {}
     let mut client = Client::open(router.addr);
     let look = statement("look", "k", "15000", "");
-    while client.ask(&look).value.as_deref() != Some("old") {}
+    while client.request(&look).value.as_deref() != Some("old") {}
     // Faulty files name their key and change nothing.
     let faulty = good(second.addr);
     for (from, to, named) in [("tick_s", "tock_s", "settings.tick_s"), ("{", "", "JSON")] {
-        std::fs::write(&router.file, faulty.replacen(from, to, 1)).unwrap();
+        std::fs::write(&router.config_path, faulty.replacen(from, to, 1)).unwrap();
         router.signal("-HUP");
         assert!(wait_for(&router.log, "the old one stays").contains(named));
     }
-    assert!(second.calls.try_recv().is_err());
-    std::fs::write(&router.file, good(second.addr).replace("\"memory_mb\":192", "\"memory_mb\":64")).unwrap();
+    assert!(second.requests.try_recv().is_err());
+    std::fs::write(&router.config_path, good(second.addr).replace("\"memory_mb\":192", "\"memory_mb\":64"))
+        .unwrap();
     router.signal("-HUP");
     assert!(wait_for(&router.log, "read anew").contains("restart=[\"limits\"]"));
     // The whole list is asked for, though that of the old address was newer; its late news is dropped.
-    assert!(second.calls.recv_timeout(PATIENCE).unwrap().starts_with("GET /discovery/hosts HTTP"));
-    second.say(http(&page(7, true, &[entry("s-1", new.addr, "Ready")])));
-    assert!(second.calls.recv_timeout(PATIENCE).unwrap().contains("after=7"));
-    first.say(http(&page(42, true, &[entry("s-1", old.addr, "Ready")])));
-    while client.ask(&look).value.as_deref() != Some("new") {}
+    assert!(second.requests.recv_timeout(TIMEOUT).unwrap().starts_with("GET /discovery/hosts HTTP"));
+    second.respond(http_ok(&list_response(7, true, &[host_entry("s-1", new.addr, "Ready")])));
+    assert!(second.requests.recv_timeout(TIMEOUT).unwrap().contains("after=7"));
+    first.respond(http_ok(&list_response(42, true, &[host_entry("s-1", old.addr, "Ready")])));
+    while client.request(&look).value.as_deref() != Some("new") {}
     // Told again, and told to stop at once.
     router.signal("-HUP");
-    assert_eq!(client.ask(&look).value.as_deref(), Some("new"));
-    assert!(first.calls.try_recv().is_err(), "the old address is not called again");
+    assert_eq!(client.request(&look).value.as_deref(), Some("new"));
+    assert!(first.requests.try_recv().is_err(), "the old address is not called again");
     router.signal("-HUP");
     assert!(router.stop().success());
 }
@@ -447,34 +471,34 @@
 fn a_request_to_stop_loses_nothing() {
     let (tell, release) = std::sync::mpsc::channel::<()>();
     let release = std::sync::Mutex::new(release);
-    let host = host(move |nth, _| {
+    let host = spawn_host(move |nth, _| {
         if nth == 0 {
             let _ = release.lock().unwrap().recv();
         }
-        Act::Say(if nth == 0 { written("v") } else { served("v", "reader") })
+        Action::Respond(if nth == 0 { write_response("v") } else { read_response("v", "reader") })
     });
     let mut router = alone(host.addr, &settings(15.0));
     let (mut idle, mut busy) = (Client::open(router.addr), Client::open(router.addr));
     let slow = statement("post", "k", "20000", "");
     busy.write(&query(&slow));
-    host.asked.recv_timeout(PATIENCE).unwrap();
+    host.queries.recv_timeout(TIMEOUT).unwrap();
     router.signal("-TERM");
     wait_for(&router.log, "asked to stop");
     // Served and accepted as before for a while.
     let look = statement("look", "k", "15000", "");
-    assert_eq!(idle.ask(&look).value.as_deref(), Some("v"));
-    assert_eq!(Client::open(router.addr).ask(&look).value.as_deref(), Some("v"));
+    assert_eq!(idle.request(&look).value.as_deref(), Some("v"));
+    assert_eq!(Client::open(router.addr).request(&look).value.as_deref(), Some("v"));
     // Those inside are served for longer, but nothing is taken that could not be answered before the end.
     wait_for(&router.log, "no more clients are let in");
-    assert_eq!(idle.ask(&look).value.as_deref(), Some("v"));
-    let sent = host.asked.iter().nth(2).unwrap();
+    assert_eq!(idle.request(&look).value.as_deref(), Some("v"));
+    let sent = host.queries.iter().nth(2).unwrap();
     let wait: f64 = sent.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
     assert!(wait < 3500.0, "{sent}");
-    assert!(idle.answer().is_none(), "closed between requests");
+    assert!(idle.read_answer().is_none(), "closed between requests");
     wait_for(&router.log, "closing clients");
     tell.send(()).unwrap();
-    assert_eq!(busy.answer().unwrap().value.as_deref(), Some("v"));
-    assert!(busy.answer().is_none());
+    assert_eq!(busy.read_answer().unwrap().value.as_deref(), Some("v"));
+    assert!(busy.read_answer().is_none());
     assert!(router.child.wait().unwrap().success());
 }
 
@@ -484,7 +508,7 @@
     let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut router = alone(free, &settings(0.1));
     for kind in ["look", "post", "mark"] {
-        let answer = Client::open(router.addr).ask(&statement(kind, "k", "200", ""));
+        let answer = Client::open(router.addr).request(&statement(kind, "k", "200", ""));
         assert_eq!(code(&answer), "53300");
     }
     router.signal("-TERM");
@@ -497,26 +521,26 @@
 
 #[test]
 fn too_many_clients_cost_the_idlest() {
-    let host = host(|_, _| Act::Say(served("v", "reader")));
-    let known = page(1, true, &[entry("s-1", host.addr, "Ready")]);
+    let host = spawn_host(|_, _| Action::Respond(read_response("v", "reader")));
+    let known = list_response(1, true, &[host_entry("s-1", host.addr, "Ready")]);
     let limits = r#"{"cores":1.0,"memory_mb":192,"sockets":64}"#;
-    let router = router(&config("127.0.0.1:1".parse().unwrap(), &known, limits, &settings(15.0)));
+    let router = spawn_router(&config("127.0.0.1:1".parse().unwrap(), &known, limits, &settings(15.0)));
     let look = statement("look", "k", "15000", "");
     // Far more than it can hold, each used once and kept.
     let mut kept = Vec::new();
     for _ in 0..100 {
         let mut client = Client::open(router.addr);
-        assert_eq!(client.ask(&look).value.as_deref(), Some("v"));
+        assert_eq!(client.request(&look).value.as_deref(), Some("v"));
         kept.push(client);
     }
     let mut first = kept.swap_remove(0);
-    assert!(first.answer().is_none(), "the idlest was closed");
+    assert!(first.read_answer().is_none(), "the idlest was closed");
 }
 
 #[test]
 fn a_client_that_does_not_read_delays_nobody() {
     let long = "x".repeat(60_000);
-    let host = host(move |_, _| Act::Say(served(&long, "reader")));
+    let host = spawn_host(move |_, _| Action::Respond(read_response(&long, "reader")));
     let router = alone(host.addr, &settings(15.0));
     let look = statement("look", "k", "15000", "");
     let mut deaf = Client::open(router.addr);
@@ -529,7 +553,7 @@
     // Its own ops may crowd the host at first; once it is stuck, others are served as if it were not there.
     let mut served = 0;
     while served < 20 {
-        let length = Client::open(router.addr).ask(&look).value.map(|v| v.len());
+        let length = Client::open(router.addr).request(&look).value.map(|v| v.len());
         served = if length == Some(60_000) { served + 1 } else { 0 };
     }
 }
@@ -537,9 +561,9 @@
 /// What a client does not take at once is written behind, in order and to the last byte.
 #[test]
 fn a_client_that_reads_late_gets_every_answer_whole() {
-    let host = host(|_, text| {
+    let host = spawn_host(|_, text| {
         let key = text.split('\'').nth(1).unwrap();
-        Act::Say(served(&format!("{key}:{}", "x".repeat(60_000)), "reader"))
+        Action::Respond(read_response(&format!("{key}:{}", "x".repeat(60_000)), "reader"))
     });
     let router = alone(host.addr, &settings(15.0));
     let mut client = Client::open(router.addr);
@@ -547,10 +571,10 @@
         (0..60).flat_map(|n| query(&statement("look", &format!("{n}"), "15000", ""))).collect();
     client.write(&many);
     // As many as one client may have open have been asked before it reads.
-    (0..20).for_each(|_| drop(host.asked.recv_timeout(PATIENCE).unwrap()));
+    (0..20).for_each(|_| drop(host.queries.recv_timeout(TIMEOUT).unwrap()));
     let mut served = 0;
     for n in 0..60 {
-        let answer = client.answer().unwrap();
+        let answer = client.read_answer().unwrap();
         // The rest was turned away, as there were so many.
         served += usize::from(answer.value.is_some());
         let whole = answer.value.map(|v| v.starts_with(&format!("{n}:")) && v.len() > 60_000);
@@ -561,7 +585,7 @@
 
 #[test]
 fn faulty_configuration_ends_in_one_line_that_names_it() {
-    let known = page(1, true, &[]);
+    let known = list_response(1, true, &[]);
     let list = "127.0.0.1:1".parse().unwrap();
     let good = config(list, &known, LIMITS, &settings(1.0));
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -586,7 +610,7 @@
         ("{".to_string(), "JSON"),
     ];
     for (text, named) in cases {
-        let (mut child, until) = (program(&text, &[]).0, Instant::now() + PATIENCE);
+        let (mut child, until) = (spawn_program(&text, &[]).0, Instant::now() + TIMEOUT);
         while child.try_wait().unwrap().is_none() {
             if Instant::now() > until {
                 drop(child.kill());
@@ -612,7 +636,7 @@
 /// Whatever clients write, the router lives and serves others.
 #[test]
 fn any_bytes_from_clients() {
-    let host = host(|_, _| Act::Say(served("v", "reader")));
+    let host = spawn_host(|_, _| Action::Respond(read_response("v", "reader")));
     let router = alone(host.addr, &settings(15.0));
     let look = statement("look", "k", "15000", "");
     let config =
@@ -629,8 +653,8 @@
         }
         let mut odd = Client::connect(router.addr, &bytes);
         drop(odd.0.stream.shutdown(Shutdown::Write));
-        while odd.0.next().is_some() {}
-        let answer = Client::open(router.addr).ask(&look);
+        while odd.0.next_message().is_some() {}
+        let answer = Client::open(router.addr).request(&look);
         prop_assert_eq!(answer.value.as_deref(), Some("v"));
     });
 }
--- a/crates/router/tests/stand_in/mod.rs
+++ b/crates/router/tests/stand_in/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins on loopback: scripted hosts, a list, a client, and a router process to put between them.
+//! Test doubles on loopback: scripted database hosts, a scripted list service and a client, and the router
+//! process under test that is started between them.
 
 use magpiewell_pg::{encode, frame};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -10,67 +11,68 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Long enough that only a hang gets there.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Generous, so that only a hang reaches it.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Messages, one after another, from a stream.
-pub struct Messages {
+/// Reads protocol messages one after another from a stream.
+pub struct MessageReader {
     pub stream: TcpStream,
     buf: Vec<u8>,
-    /// How the stream ended, once it has.
-    pub ended: String,
+    /// Why reading stopped, once it has: `closed` or the text of the error.
+    pub end_reason: String,
 }
 
-impl Messages {
-    pub fn new(stream: TcpStream) -> Messages {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+impl MessageReader {
+    pub fn new(stream: TcpStream) -> MessageReader {
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Messages { stream, buf: Vec::new(), ended: String::new() }
+        MessageReader { stream, buf: Vec::new(), end_reason: String::new() }
     }
 
-    fn more(&mut self) -> bool {
+    fn read_more(&mut self) -> bool {
         let mut chunk = [0; 4096];
         loop {
             match self.stream.read(&mut chunk) {
-                Ok(0) => self.ended = "closed".to_string(),
+                Ok(0) => self.end_reason = "closed".to_string(),
                 Ok(n) => {
                     self.buf.extend_from_slice(&chunk[..n]);
                     return true;
                 }
-                // A read with a time limit ends so where the machine stops this program and lets it go on.
+                // A read with a timeout is interrupted when the process is stopped and continued.
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) => self.ended = e.to_string(),
+                Err(e) => self.end_reason = e.to_string(),
             }
             return false;
         }
     }
 
-    /// What came behind the last message.
-    pub fn kept(&self) -> std::borrow::Cow<'_, str> {
+    /// Bytes received after the last message that was parsed.
+    pub fn unparsed(&self) -> std::borrow::Cow<'_, str> {
         String::from_utf8_lossy(&self.buf)
     }
 
-    pub fn startup(&mut self) -> Option<u32> {
+    /// The code of the startup message; none where the stream ended.
+    pub fn read_startup(&mut self) -> Option<u32> {
         loop {
             if let Some((code, body)) = frame::startup(&self.buf, 10_000).unwrap() {
                 self.buf.drain(..body.end);
                 return Some(code);
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         }
     }
 
-    /// Kind and body of the next message; none at the end.
-    pub fn next(&mut self) -> Option<(u8, Vec<u8>)> {
+    /// Kind and body of the next message; none where the stream ended.
+    pub fn next_message(&mut self) -> Option<(u8, Vec<u8>)> {
         loop {
             if let Some((kind, body)) = frame::message(&self.buf, 1 << 20).unwrap() {
-                let whole = (kind, self.buf[body.clone()].to_vec());
+                let message = (kind, self.buf[body.clone()].to_vec());
                 self.buf.drain(..body.end);
-                return Some(whole);
+                return Some(message);
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         }
@@ -81,183 +83,194 @@
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-pub fn parameter(name: &str, value: &str) -> Vec<u8> {
+pub fn parameter_status(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
-/// A row as a read gets it; a write's says so behind it.
+/// A row as a read returns it, with the command tag of a read.
 pub fn row(value: &str) -> Vec<u8> {
-    tagged(value, "SELECT 1")
+    row_with_tag(value, "SELECT 1")
 }
 
-pub fn tagged(value: &str, tag: &str) -> Vec<u8> {
-    let described = [&1u16.to_be_bytes()[..], b"v\0", &[0; 18]].concat();
+pub fn row_with_tag(value: &str, tag: &str) -> Vec<u8> {
+    let description = [&1u16.to_be_bytes()[..], b"v\0", &[0; 18]].concat();
     let length = (value.len() as u32).to_be_bytes();
     let data = [&1u16.to_be_bytes()[..], &length, value.as_bytes()].concat();
-    [message(b'T', &described), message(b'D', &data), message(b'C', format!("{tag}\0").as_bytes())].concat()
+    [message(b'T', &description), message(b'D', &data), message(b'C', format!("{tag}\0").as_bytes())].concat()
 }
 
-/// A served answer with what stands beside it.
-pub fn served(value: &str, role: &str) -> Vec<u8> {
-    [row(value), parameter("server_role", role), encode::READY_FOR_QUERY.to_vec()].concat()
+/// A whole response to a read, with the role that the host reports.
+pub fn read_response(value: &str, role: &str) -> Vec<u8> {
+    [row(value), parameter_status("server_role", role), encode::READY_FOR_QUERY.to_vec()].concat()
 }
 
-/// The same for a write.
-pub fn written(value: &str) -> Vec<u8> {
-    [tagged(value, "INSERT 0 1"), parameter("server_role", "writer"), encode::READY_FOR_QUERY.to_vec()]
-        .concat()
+/// A whole response to a write.
+pub fn write_response(value: &str) -> Vec<u8> {
+    [
+        row_with_tag(value, "INSERT 0 1"),
+        parameter_status("server_role", "writer"),
+        encode::READY_FOR_QUERY.to_vec(),
+    ]
+    .concat()
 }
 
-/// Bytes with the first of these replaced.
-pub fn patch(bytes: Vec<u8>, from: &[u8], to: &[u8]) -> Vec<u8> {
-    let at = bytes.windows(from.len()).position(|w| w == from).expect("what is to be replaced");
+/// Replaces the first occurrence of `from`, which has to be present.
+pub fn replace_first(bytes: Vec<u8>, from: &[u8], to: &[u8]) -> Vec<u8> {
+    let at = bytes.windows(from.len()).position(|w| w == from).expect("the bytes to be replaced are missing");
     [&bytes[..at], to, &bytes[at + from.len()..]].concat()
 }
 
-pub fn refused(code: &str) -> Vec<u8> {
-    let mut said = Vec::new();
-    encode::error_response(&mut said, false, code, "scripted", "");
-    [said, encode::READY_FOR_QUERY.to_vec()].concat()
+pub fn error_response(code: &str) -> Vec<u8> {
+    let mut error = Vec::new();
+    encode::error_response(&mut error, false, code, "scripted", "");
+    [error, encode::READY_FOR_QUERY.to_vec()].concat()
 }
 
-/// What a scripted host does with a query.
-pub enum Act {
-    Say(Vec<u8>),
-    /// Says that, then closes.
-    End(Vec<u8>),
-    Silence,
+/// How a scripted host reacts to a query.
+pub enum Action {
+    Respond(Vec<u8>),
+    /// Sends these bytes, then closes the connection.
+    RespondAndClose(Vec<u8>),
+    /// Sends nothing and keeps the connection open.
+    Ignore,
 }
 
 pub struct Host {
     pub addr: SocketAddr,
-    /// Each query as it came.
-    pub asked: Receiver<String>,
-    /// Connections accepted so far.
-    pub opened: Arc<Mutex<usize>>,
+    /// The text of each query, in the order of arrival.
+    pub queries: Receiver<String>,
+    /// Number of connections accepted so far.
+    pub accepted: Arc<Mutex<usize>>,
 }
 
-/// A host that acts on the nth query, counted over all its connections, by the script.
-pub fn host(script: impl Fn(usize, &str) -> Act + Send + Sync + 'static) -> Host {
+/// Starts a host whose script decides on each query by its number, from 0 over all connections, and its text.
+pub fn spawn_host(script: impl Fn(usize, &str) -> Action + Send + Sync + 'static) -> Host {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let (tell, asked) = channel();
-    let (script, count, opened) = (Arc::new(script), Arc::new(Mutex::new(0)), Arc::new(Mutex::new(0)));
-    let opens = opened.clone();
+    let (sender, queries) = channel();
+    let (script, count, accepted) = (Arc::new(script), Arc::new(Mutex::new(0)), Arc::new(Mutex::new(0)));
+    let accepted_counter = accepted.clone();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            *opens.lock().unwrap() += 1;
-            let (tell, script, count) = (tell.clone(), script.clone(), count.clone());
-            thread::spawn(move || serve(Messages::new(stream), &tell, &*script, &count));
+            *accepted_counter.lock().unwrap() += 1;
+            let (sender, script, count) = (sender.clone(), script.clone(), count.clone());
+            thread::spawn(move || serve_connection(MessageReader::new(stream), &sender, &*script, &count));
         }
     });
-    Host { addr, asked, opened }
+    Host { addr, queries, accepted }
 }
 
-fn serve(
-    mut from: Messages,
-    tell: &Sender<String>,
-    script: &dyn Fn(usize, &str) -> Act,
+fn serve_connection(
+    mut from: MessageReader,
+    sender: &Sender<String>,
+    script: &dyn Fn(usize, &str) -> Action,
     count: &Mutex<usize>,
 ) {
-    if from.startup().is_none() {
+    if from.read_startup().is_none() {
         return;
     }
-    let mut admits = Vec::new();
-    encode::startup_reply(&mut admits);
+    let mut reply = Vec::new();
+    encode::startup_reply(&mut reply);
     let mut to = from.stream.try_clone().unwrap();
-    to.write_all(&admits).unwrap();
-    while let Some((b'Q', body)) = from.next() {
+    to.write_all(&reply).unwrap();
+    while let Some((b'Q', body)) = from.next_message() {
         let text = String::from_utf8(body[..body.len() - 1].to_vec()).unwrap();
         let nth = {
             let mut count = count.lock().unwrap();
             *count += 1;
             *count - 1
         };
-        drop(tell.send(text.clone()));
+        drop(sender.send(text.clone()));
         match script(nth, &text) {
-            Act::Say(bytes) => drop(to.write_all(&bytes)),
-            Act::End(bytes) => {
+            Action::Respond(bytes) => drop(to.write_all(&bytes)),
+            Action::RespondAndClose(bytes) => {
                 drop(to.write_all(&bytes));
                 return;
             }
-            Act::Silence => {}
+            Action::Ignore => {}
         }
     }
 }
 
-pub fn entry(id: &str, addr: SocketAddr, state: &str) -> String {
+/// The entry of one host in a list response.
+pub fn host_entry(id: &str, addr: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"id":"{id}","addr":"{addr}","zone":"a","kind":"m","cell":3,"state":"{state}","weight":1.0,"started_ms":0}}"#
     )
 }
 
-pub fn page(version: u64, full: bool, entries: &[String]) -> String {
+/// The body of a list response: the whole list if `full`, otherwise the changes since the version before.
+pub fn list_response(version: u64, full: bool, entries: &[String]) -> String {
     format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, entries.join(","))
 }
 
-/// What the list does with a call.
+/// How the list service reacts to a request.
 pub enum Reply {
-    Say(Vec<u8>),
-    /// Says that, then resets the connection.
+    /// Sends these bytes. The connection stays open only after a success with a `Content-Length` as first header.
+    Respond(Vec<u8>),
+    /// Sends these bytes, then resets the connection.
     Reset(Vec<u8>),
-    /// Says that, and nothing more: the connection stays open.
-    Silence(Vec<u8>),
-    /// Says that byte by byte, and so slowly that it does not end.
+    /// Sends these bytes and nothing more; the connection stays open.
+    Stall(Vec<u8>),
+    /// Sends these bytes one by one, over and over, so slowly that the response does not end.
     Trickle(Vec<u8>),
 }
 
 pub struct List {
     pub addr: SocketAddr,
-    /// One a call, in order; a call without one waits.
+    /// One for each request, in order; a request without one waits.
     pub replies: Sender<Reply>,
-    /// The first line of each call.
-    pub calls: Receiver<String>,
+    /// The first line of each request.
+    pub requests: Receiver<String>,
 }
 
 impl List {
-    pub fn say(&self, answer: Vec<u8>) {
-        self.replies.send(Reply::Say(answer)).unwrap();
+    pub fn respond(&self, response: Vec<u8>) {
+        self.replies.send(Reply::Respond(response)).unwrap();
     }
 
-    pub fn call(&self) -> String {
-        self.calls.recv_timeout(PATIENCE).unwrap()
+    /// Waits for the next request and returns its first line.
+    pub fn next_request(&self) -> String {
+        self.requests.recv_timeout(TIMEOUT).unwrap()
     }
 }
 
-pub fn http(body: &str) -> Vec<u8> {
+/// A successful HTTP response with this body.
+pub fn http_ok(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-pub fn list() -> List {
-    list_at(TcpListener::bind("127.0.0.1:0").unwrap())
+pub fn spawn_list() -> List {
+    spawn_list_on(TcpListener::bind("127.0.0.1:0").unwrap())
 }
 
-/// A list behind a listener that is there already.
-pub fn list_at(listener: TcpListener) -> List {
+/// Starts a list service on an existing listener.
+pub fn spawn_list_on(listener: TcpListener) -> List {
     let addr = listener.local_addr().unwrap();
     let (replies, script) = channel::<Reply>();
-    let (tell, calls) = channel();
+    let (request_sender, requests) = channel();
     thread::spawn(move || {
-        let mut silent = Vec::new();
+        let mut stalled = Vec::new();
         'connections: for stream in listener.incoming().map_while(Result::ok) {
             let mut to = stream.try_clone().unwrap();
             let mut lines = BufReader::new(stream).lines().map_while(Result::ok);
             while let Some(first) = lines.next() {
                 while lines.next().is_some_and(|line| !line.is_empty()) {}
-                drop(tell.send(first));
+                drop(request_sender.send(first));
                 let Ok(reply) = script.recv() else { return };
-                if let Reply::Say(bytes) | Reply::Reset(bytes) | Reply::Silence(bytes) = &reply {
+                if let Reply::Respond(bytes) | Reply::Reset(bytes) | Reply::Stall(bytes) = &reply {
                     drop(to.write_all(bytes));
                 }
                 match reply {
-                    Reply::Say(answer) if answer.starts_with(b"HTTP/1.1 200 OK\r\nContent-Length") => {}
-                    Reply::Say(_) => break,
+                    Reply::Respond(response)
+                        if response.starts_with(b"HTTP/1.1 200 OK\r\nContent-Length") => {}
+                    Reply::Respond(_) => break,
                     Reply::Reset(_) => {
                         socket2::SockRef::from(&to).set_linger(Some(Duration::ZERO)).unwrap();
                         break;
                     }
-                    Reply::Silence(_) => {
-                        silent.push(to);
+                    Reply::Stall(_) => {
+                        stalled.push(to);
                         continue 'connections;
                     }
                     Reply::Trickle(bytes) => {
@@ -268,10 +281,10 @@
             }
         }
     });
-    List { addr, replies, calls }
+    List { addr, replies, requests }
 }
 
-/// Writes a byte now and then, over and over, until nobody takes any more.
+/// Writes these bytes over and over, one every 100 ms, until the connection fails.
 fn trickle(mut to: TcpStream, bytes: &[u8]) {
     for byte in bytes.iter().cycle() {
         if to.write_all(&[*byte]).is_err() {
@@ -281,17 +294,18 @@
     }
 }
 
-/// Settings with one op type of each kind; all are wanted within `target` seconds.
-pub fn settings(target: f64) -> String {
-    let kind = |name: &str, effect: &str| {
+/// Settings with one op type of each kind; all have the latency target `target_s`.
+pub fn settings(target_s: f64) -> String {
+    let op_type = |name: &str, effect: &str| {
         format!(
-            r#"{{"name":"{name}","effect":"{effect}","deadline_s":20,"goal_time_s":{target},"group":"cell",
+            r#"{{"name":"{name}","effect":"{effect}","deadline_s":20,"goal_time_s":{target_s},"group":"cell",
                 "late_worth":0.3,"value":1,"window_s":5}}"#
         )
     };
-    let kinds = [kind("look", "free"), kind("post", "single_shot"), kind("mark", "guarded")].join(",");
+    let op_types =
+        [op_type("look", "free"), op_type("post", "single_shot"), op_type("mark", "guarded")].join(",");
     format!(
-        r#"{{"balancers":1,"tick_s":0.005,"classes":[{kinds}],"discovery":"automatic",
+        r#"{{"balancers":1,"tick_s":0.005,"classes":[{op_types}],"discovery":"automatic",
         "extra":{{"behind":"refuse","read_level":["any","write","write"],"staleness_bound_s":[0,0,0],
         "write_marks":"remembered"}},
         "tenants":[{{"name":"acme","quota_rps":1000}}],
@@ -304,8 +318,7 @@
 
 pub struct Router {
     pub child: Child,
-    /// Its configuration file.
-    pub file: PathBuf,
+    pub config_path: PathBuf,
     pub addr: SocketAddr,
     pub log: Receiver<String>,
 }
@@ -320,18 +333,19 @@
     }
 }
 
-/// The program under test: the router, or in the laboratory's tests its own build.
+/// The program under test: the router, or its laboratory build in the tests of that package.
 const PROGRAM: Option<&str> = match option_env!("CARGO_BIN_EXE_magpiewell-router") {
     None => option_env!("CARGO_BIN_EXE_magpiewell-staged"),
     program => program,
 };
 
-pub fn program(config: &str, options: &[&str]) -> (Child, PathBuf) {
-    let program = PROGRAM.expect("a program that cargo built for this test");
-    start(Command::new(program).args(options), config)
+/// Starts the program without waiting for it; returns the process and the path of its configuration file.
+pub fn spawn_program(config: &str, options: &[&str]) -> (Child, PathBuf) {
+    let program = PROGRAM.expect("cargo has built no router for this test");
+    spawn(Command::new(program).args(options), config)
 }
 
-fn start(command: &mut Command, config: &str) -> (Child, PathBuf) {
+fn spawn(command: &mut Command, config: &str) -> (Child, PathBuf) {
     static COUNT: Mutex<usize> = Mutex::new(0);
     let mut count = COUNT.lock().unwrap();
     *count += 1;
@@ -351,38 +365,39 @@
 
 pub const LIMITS: &str = r#"{"cores":1.0,"memory_mb":192,"sockets":1024}"#;
 
-/// Starts a router and waits until it says where it listens.
-pub fn router(config: &str) -> Router {
-    staged(config, &[])
+/// Starts a router and waits until it logs its listen address.
+pub fn spawn_router(config: &str) -> Router {
+    spawn_router_with_options(config, &[])
 }
 
-/// The same, with options of the laboratory's build.
-pub fn staged(config: &str, options: &[&str]) -> Router {
-    started(program(config, options))
+/// Starts a router with command line options of the laboratory build, and waits likewise.
+pub fn spawn_router_with_options(config: &str, options: &[&str]) -> Router {
+    wait_until_listening(spawn_program(config, options))
 }
 
-/// The same, where the system lets the process have so many descriptors and no more.
-pub fn with_descriptors(most: usize, config: &str) -> Router {
-    let program = PROGRAM.expect("a program that cargo built for this test");
-    let limited = format!("ulimit -n {most}; exec \"$0\"");
-    started(start(Command::new("sh").args(["-c", &limited, program]), config))
+/// Starts a router that may have at most `limit` descriptors open, and waits likewise.
+pub fn spawn_router_with_descriptor_limit(limit: usize, config: &str) -> Router {
+    let program = PROGRAM.expect("cargo has built no router for this test");
+    let shell_command = format!("ulimit -n {limit}; exec \"$0\"");
+    wait_until_listening(spawn(Command::new("sh").args(["-c", &shell_command, program]), config))
 }
 
-fn started((mut child, file): (Child, PathBuf)) -> Router {
-    let (tell, log) = channel();
+fn wait_until_listening((mut child, config_path): (Child, PathBuf)) -> Router {
+    let (line_sender, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-    thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(tell.send(line))));
-    let started = wait_for(&log, "listen=");
-    let addr = started.split("listen=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
-    Router { child, file, addr, log }
+    thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(line_sender.send(line))));
+    let line = wait_for(&log, "listen=");
+    let addr = line.split("listen=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
+    Router { child, config_path, addr, log }
 }
 
-/// The first log line from here that holds these words.
+/// Waits for the next log line that contains these words, and returns it.
 pub fn wait_for(log: &Receiver<String>, words: &str) -> String {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        let line = log.recv_timeout(left).unwrap_or_else(|e| panic!("no line says '{words}': {e}"));
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let line =
+            log.recv_timeout(remaining).unwrap_or_else(|e| panic!("no log line contains '{words}': {e}"));
         if line.contains(words) {
             return line;
         }
@@ -390,21 +405,22 @@
 }
 
 impl Router {
-    /// Asks it to stop and waits until it has.
+    /// Sends SIGTERM and waits until the process has exited.
     pub fn stop(&mut self) -> ExitStatus {
         self.signal("-TERM");
         self.child.wait().unwrap()
     }
 
-    pub fn signal(&self, which: &str) {
-        let kill = Command::new("kill").arg(which).arg(self.child.id().to_string()).status();
+    pub fn signal(&self, signal: &str) {
+        let kill = Command::new("kill").arg(signal).arg(self.child.id().to_string()).status();
         assert!(kill.unwrap().success());
     }
 }
 
-pub struct Client(pub Messages);
+pub struct Client(pub MessageReader);
 
-/// An answer up to the next readiness: value, code and detail, whichever there are.
+/// What the router answers up to its next `ReadyForQuery`, or to a fatal error: value, error code and detail,
+/// as far as they are present.
 #[derive(Debug, Default, PartialEq)]
 pub struct Answer {
     pub value: Option<String>,
@@ -414,9 +430,9 @@
 }
 
 impl Client {
-    /// Connects, and writes the first commands right behind the startup message.
+    /// Connects, and writes the first commands right after the startup message.
     pub fn connect(addr: SocketAddr, commands: &[u8]) -> Client {
-        let mut client = Client(Messages::new(TcpStream::connect(addr).unwrap()));
+        let mut client = Client(MessageReader::new(TcpStream::connect(addr).unwrap()));
         let mut bytes = Vec::new();
         encode::startup_message(&mut bytes, "svc", "main");
         bytes.extend_from_slice(commands);
@@ -428,12 +444,12 @@
         self.0.stream.write_all(bytes).unwrap();
     }
 
-    /// The answer of the next command; none where the connection ended.
-    pub fn answer(&mut self) -> Option<Answer> {
+    /// The answer to the next command; none where the connection ended.
+    pub fn read_answer(&mut self) -> Option<Answer> {
         let mut answer = Answer::default();
         loop {
             let text = |b: &[u8]| Some(String::from_utf8_lossy(b).into_owned());
-            match self.0.next()? {
+            match self.0.next_message()? {
                 (b'Z', _) => return Some(answer),
                 (b'D', body) => answer.value = text(frame::first_column(&body).unwrap()),
                 (b'E', body) => {
@@ -449,16 +465,17 @@
         }
     }
 
-    /// Opens a connection, past its welcome.
+    /// Connects and reads the answer to the startup message.
     pub fn open(addr: SocketAddr) -> Client {
         let mut client = Client::connect(addr, &[]);
-        assert_eq!(client.answer(), Some(Answer::default()));
+        assert_eq!(client.read_answer(), Some(Answer::default()));
         client
     }
 
-    pub fn ask(&mut self, text: &str) -> Answer {
+    /// Sends a query and reads its answer.
+    pub fn request(&mut self, text: &str) -> Answer {
         self.write(&query(text));
-        self.answer().unwrap_or_else(|| panic!("no answer, {}", self.0.ended))
+        self.read_answer().unwrap_or_else(|| panic!("no answer, {}", self.0.end_reason))
     }
 }
 
@@ -466,22 +483,25 @@
     [&encode::query_header(text.len())[..], text.as_bytes(), &[0]].concat()
 }
 
-/// No two ops that are open at once may have the same.
-fn new_id() -> String {
+/// Ids are unique, as no two outstanding ops may have the same one.
+fn new_op_id() -> String {
     static COUNT: Mutex<u64> = Mutex::new(0);
     let mut count = COUNT.lock().unwrap();
     *count += 1;
     format!("{:016x}", *count)
 }
 
-/// A statement of an op type, with what stands in its key and behind the usual facts.
-pub fn statement(kind: &str, key: &str, wait: &str, more: &str) -> String {
-    let work = if kind == "look" {
+/// A statement of an op type with this key, client timeout in ms, and further attributes after the usual ones.
+pub fn statement(op_type: &str, key: &str, client_timeout_ms: &str, more: &str) -> String {
+    let sql_start = if op_type == "look" {
         "SELECT v FROM records WHERE k = '"
     } else {
         "INSERT INTO records (k, v) VALUES ('"
     };
-    let end = if kind == "look" { "'" } else { "', '\\x9f') RETURNING v" };
-    let token = if kind == "mark" && !more.contains("k=") { ",k=5c0f" } else { "" };
-    format!("{work}{key}{end} /* id={},c={kind},t=acme,d={wait},cluster=3{token}{more} */", new_id())
+    let sql_end = if op_type == "look" { "'" } else { "', '\\x9f') RETURNING v" };
+    let token = if op_type == "mark" && !more.contains("k=") { ",k=5c0f" } else { "" };
+    format!(
+        "{sql_start}{key}{sql_end} /* id={},c={op_type},t=acme,d={client_timeout_ms},cluster=3{token}{more} */",
+        new_op_id()
+    )
 }
