--- a/crates/router/tests/router/watches.rs
+++ b/crates/router/tests/router/list_watch.rs
@@ -1,7 +1,7 @@
 //! The watch of the list when it falls silent, is cut or reset, or goes back: what the list has told since is not missed
 //! for longer than the platform's clock for silence allows, and nothing that is not whole is taken for news.
 
-use crate::moments::late;
+use crate::races::late;
 use crate::stand_in::*;
 use std::net::SocketAddr;
 
