--- a/crates/router/tests/router/list_outage.rs
+++ b/crates/router/tests/router/list_outage.rs
@@ -105,7 +105,8 @@
                 if !knows {
                     let answers = (0..CALLS_TO_BE_READY).map(|_| Reply::Respond(http_ok(whole)));
                     let mut replies = first_reply(which, whole).into_iter().chain(answers);
-                    // A machine that stands still for a second spoils a call too: then the next one is answered.
+                    // A machine that stands still for a second spoils a call too: then the next one is
+                    // answered.
                     while !list.next_request().contains("?after=41&") {
                         list.replies
                             .send(replies.next().expect("no more calls than there is time for"))
--- a/crates/router/tests/router/list_watch.rs
+++ b/crates/router/tests/router/list_watch.rs
@@ -1,11 +1,13 @@
-//! The watch of the list when it falls silent, is cut or reset, or goes back: what the list has told since is not missed
-//! for longer than the platform's clock for silence allows, and nothing that is not whole is taken for news.
+//! The watch of the list when it falls silent, is cut or reset, or goes back: what the list has told since is
+//! not missed for longer than the platform's clock for silence allows, and nothing that is not whole is taken
+//! for news.
 
-use crate::races::late;
+use crate::races::saturated_host;
 use crate::stand_in::*;
 use std::net::SocketAddr;
 
-/// What a silent watch misses counts as told so long after it fell silent, or so long after its wait if that is later.
+/// What a silent watch misses counts as told so long after it fell silent, or so long after its wait if that
+/// is later.
 const TOLD_MS: u64 = 6_000;
 const TOLD_BEHIND_WAIT_MS: u64 = 2_000;
 
@@ -106,7 +108,7 @@
 #[test]
 fn a_list_that_takes_no_connection_is_called_until_it_does() {
     let (old, new) = pair();
-    let queue = late();
+    let queue = saturated_host();
     let known = list_response(41, true, &[host_entry("s-1", old.addr, "Ready")]);
     let router = spawn_router(&config(queue.addr, &known, LIMITS, &settings(5.0)));
     wait_for(&router.log, "list failed");
@@ -200,7 +202,8 @@
     }
 }
 
-/// The bound on connections follows from the memory granted; a list that is larger is named, not cut short without a word.
+/// The bound on connections follows from the memory granted; a list that is larger is named, not cut short
+/// without a word.
 #[test]
 fn more_hosts_than_connections_are_named() {
     const HOSTS: usize = 80;
--- a/crates/router/tests/router/service.rs
+++ b/crates/router/tests/router/service.rs
@@ -74,9 +74,9 @@
     assert!(client.read_answer().is_none(), "the connection of a cancel request is closed");
 }
 
-/// One case for each row of the protocol's table, with a non-retryable op: where the host's reaction shows that the
-/// op has not run, the client gets a busy reply (53300), after which a retry is harmless; otherwise it gets an
-/// error (58000), after which the op may have run.
+/// One case for each row of the protocol's table, with a non-retryable op: where the host's reaction shows
+/// that the op has not run, the client gets a busy reply (53300), after which a retry is harmless; otherwise
+/// it gets an error (58000), after which the op may have run.
 #[test]
 fn host_responses_map_to_op_results() {
     type Row = (&'static str, fn() -> Action, &'static str);
@@ -125,7 +125,8 @@
 }
 
 /// Malformed responses were once relayed, waited for until the op timed out, or passed to the policy with the
-/// role that they report, which would have sent reads nowhere else. Detected at once, they leave time for a retry.
+/// role that they report, which would have sent reads nowhere else. Detected at once, they leave time for a
+/// retry.
 #[test]
 fn malformed_response_is_a_failed_send_that_may_have_run() {
     let data_row = |length: u32, value: u32| {
--- a/crates/router/tests/stand_in/mod.rs
+++ b/crates/router/tests/stand_in/mod.rs
@@ -206,7 +206,8 @@
 
 /// How the list service reacts to a request.
 pub enum Reply {
-    /// Sends these bytes. The connection stays open only after a success with a `Content-Length` as first header.
+    /// Sends these bytes. The connection stays open only after a success with a `Content-Length` as first
+    /// header.
     Respond(Vec<u8>),
     /// Sends these bytes, then resets the connection.
     Reset(Vec<u8>),
@@ -491,7 +492,8 @@
     format!("{:016x}", *count)
 }
 
-/// A statement of an op type with this key, client timeout in ms, and further attributes after the usual ones.
+/// A statement of an op type with this key, client timeout in ms, and further attributes after the usual
+/// ones.
 pub fn statement(op_type: &str, key: &str, client_timeout_ms: &str, more: &str) -> String {
     let sql_start = if op_type == "look" {
         "SELECT v FROM records WHERE k = '"
