--- a/crates/router/tests/stand_in/mod.rs
+++ b/crates/router/tests/stand_in/mod.rs
@@ -492,9 +492,8 @@
     format!("{:016x}", *count)
 }
 
-/// A statement of an op type with this key, client timeout in ms, and further attributes after the usual
-/// ones.
-pub fn statement(op_type: &str, key: &str, client_timeout_ms: &str, more: &str) -> String {
+/// A statement of an op type with this key, this client timeout, and further attributes after the usual ones.
+pub fn statement(op_type: &str, key: &str, timeout_ms: &str, more: &str) -> String {
     let sql_start = if op_type == "look" {
         "SELECT v FROM records WHERE k = '"
     } else {
@@ -503,7 +502,7 @@
     let sql_end = if op_type == "look" { "'" } else { "', '\\x9f') RETURNING v" };
     let token = if op_type == "mark" && !more.contains("k=") { ",k=5c0f" } else { "" };
     format!(
-        "{sql_start}{key}{sql_end} /* id={},c={op_type},t=acme,d={client_timeout_ms},cluster=3{token}{more} */",
+        "{sql_start}{key}{sql_end} /* id={},c={op_type},t=acme,d={timeout_ms},cluster=3{token}{more} */",
         new_op_id()
     )
 }
