--- a/crates/router/tests/router/list_outage.rs
+++ b/crates/router/tests/router/list_outage.rs
@@ -1,115 +1,123 @@
-//! While the list is out of reach: clients that fill the descriptors meanwhile, and processes that are
-//! started anew.
+//! While the list service is unreachable: clients that use up the descriptors, and routers that are
+//! restarted.
 
 use crate::stand_in::*;
 use std::net::SocketAddr;
 use std::thread;
 
-/// Descriptors that the system lets the router have: the least that a configuration may grant.
+/// The descriptor limit of the router's process: the least that a configuration may grant.
 const DESCRIPTORS: usize = 64;
-/// Clients that come at once: more than there is room for. Ops that their host holds: most of the connections
-/// to hosts.
+/// Clients that connect at once: more than there are places for.
 const CROWD: usize = 200;
+/// Ops that their host leaves unanswered: they occupy most of the connections to hosts.
 const HELD_OPS: usize = 8;
-/// Calls of the list that fail meanwhile.
-const FAILED_CALLS: usize = 4;
+/// List requests that fail meanwhile.
+const FAILED_REQUESTS: usize = 4;
 const PROCESSES: usize = 10;
-/// Calls of the whole list that fit into the time that a process has to be ready: see the test of the limits.
-const CALLS_TO_BE_READY: usize = 5;
+/// Requests for the full list that fit into the time within which a process has to be ready: see the tests of
+/// `limits`.
+const REQUESTS_UNTIL_READY: usize = 5;
 
-/// Nothing ends by itself while a test waits.
-fn patient() -> String {
+/// Settings under which no op times out during a test.
+fn settings_without_timeouts() -> String {
     settings(3000.0).replace("\"deadline_s\":20", "\"deadline_s\":3000")
 }
 
-fn look(key: &str) -> String {
+fn look_statement(key: &str) -> String {
     statement("look", key, "3000000", "")
 }
 
-/// Connects and asks at once, and waits for nothing.
+/// Connects, sends a query at once and does not wait for the answer.
 fn idle_client(addr: SocketAddr) -> Client {
-    Client::connect(addr, &query(&look("idle")))
+    Client::connect(addr, &query(&look_statement("idle")))
 }
 
-/// Each call of the list needs a descriptor. Clients, hosts and who is just being closed once could take more
-/// than were granted between them.
+/// Each list request needs a descriptor. Clients, hosts and connections being closed could once take more
+/// than were granted in total.
 #[test]
-fn clients_that_fill_the_descriptors_keep_no_news_of_the_list_out() {
-    let answers =
+fn clients_that_exhaust_descriptors_do_not_block_list_requests() {
+    let spawn_answering_host =
         |value: &'static str| spawn_host(move |_, _| Action::Respond(read_response(value, "reader")));
-    let (old, new, holds, list) =
-        (answers("old"), answers("new"), spawn_host(|_, _| Action::Ignore), spawn_list());
+    let (old, new, holding, list) = (
+        spawn_answering_host("old"),
+        spawn_answering_host("new"),
+        spawn_host(|_, _| Action::Ignore),
+        spawn_list(),
+    );
     let limits = format!(r#"{{"cores":1.0,"memory_mb":192,"sockets":{DESCRIPTORS}}}"#);
-    let other_group = host_entry("s-2", holds.addr, "Ready").replace("\"cell\":3", "\"cell\":9");
+    let other_group = host_entry("s-2", holding.addr, "Ready").replace("\"cell\":3", "\"cell\":9");
     let known = list_response(41, true, &[host_entry("s-1", old.addr, "Ready"), other_group]);
-    let router =
-        spawn_router_with_descriptor_limit(DESCRIPTORS, &config(list.addr, &known, &limits, &patient()));
+    let router = spawn_router_with_descriptor_limit(
+        DESCRIPTORS,
+        &config(list.addr, &known, &limits, &settings_without_timeouts()),
+    );
     let mut busy = Client::open(router.addr);
-    (0..HELD_OPS).for_each(|_| busy.write(&query(&look("held").replace("cluster=3", "cluster=9"))));
-    holds.queries.recv_timeout(TIMEOUT).unwrap();
+    (0..HELD_OPS).for_each(|_| busy.write(&query(&look_statement("held").replace("cluster=3", "cluster=9"))));
+    holding.queries.recv_timeout(TIMEOUT).unwrap();
     let _crowd: Vec<Client> = (0..CROWD).map(|_| idle_client(router.addr)).collect();
-    for _ in 0..FAILED_CALLS {
+    for _ in 0..FAILED_REQUESTS {
         assert!(list.next_request().contains("?after=41&"));
         list.replies.send(Reply::Reset(Vec::new())).unwrap();
     }
     assert!(list.next_request().contains("?after=41&"));
     list.respond(http_ok(&list_response(42, false, &[host_entry("s-1", new.addr, "Ready")])));
     assert!(list.next_request().contains("?after=42&"));
-    // Those who wait outside are let in as others are shown out.
+    // Queued clients are accepted as others are disconnected.
     new.queries.recv_timeout(TIMEOUT).unwrap();
-    let lacks: Vec<String> = router.log.try_iter().filter(|line| line.contains("os error 24")).collect();
-    assert!(lacks.is_empty(), "{lacks:?}");
+    let exhausted: Vec<String> = router.log.try_iter().filter(|line| line.contains("os error 24")).collect();
+    assert!(exhausted.is_empty(), "{exhausted:?}");
 }
 
-/// How the list takes the first call of a process that has started anew; none: as it should.
-fn first_reply(which: usize, whole: &str) -> Option<Reply> {
-    let cut = http_ok(whole);
-    match which % 5 {
+/// How the list service reacts to the first request of a restarted process; none where it answers properly.
+fn first_reply(index: usize, body: &str) -> Option<Reply> {
+    let full = http_ok(body);
+    match index % 5 {
         0 => Some(Reply::Stall(Vec::new())),
         1 => Some(Reply::Reset(Vec::new())),
         2 => Some(Reply::Respond(b"HTTP/1.1 503 Not now\r\n\r\n".to_vec())),
-        3 => Some(Reply::Stall(cut[..cut.len() - 1].to_vec())),
+        3 => Some(Reply::Stall(full[..full.len() - 1].to_vec())),
         _ => None,
     }
 }
 
-/// Killed with clients connected, each comes back under its own address. Who knows a list is ready though the
-/// list says nothing; who knows none, once a call has brought it, whatever the first came to.
+/// Each process is killed with a client connected and restarted at its own address. One that knows a list is
+/// ready although the list service does not answer; one that knows none is ready once a request has returned
+/// the list, however the first request ended.
 #[test]
-fn processes_that_are_killed_and_started_anew_are_ready_within_a_few_calls_of_their_list() {
+fn killed_routers_are_ready_after_restart_within_a_few_list_requests() {
     let host = spawn_host(|_, _| Action::Respond(read_response("v", "reader")));
-    let whole = list_response(41, true, &[host_entry("s-1", host.addr, "Ready")]);
-    let start = |listen: &str, list: &List, known: &str| {
+    let full_list = list_response(41, true, &[host_entry("s-1", host.addr, "Ready")]);
+    let spawn_router_at = |listen: &str, list: &List, known: &str| {
         spawn_router(&config(list.addr, known, LIMITS, &settings(5.0)).replace("127.0.0.1:0", listen))
     };
-    let mut before: Vec<(Router, Client)> = Vec::new();
+    let mut running: Vec<(Router, Client)> = Vec::new();
     for _ in 0..PROCESSES {
         let list = spawn_list();
-        let router = start("127.0.0.1:0", &list, &whole);
+        let router = spawn_router_at("127.0.0.1:0", &list, &full_list);
         let mut client = Client::open(router.addr);
         assert_eq!(client.request(&statement("look", "k", "15000", "")).value.as_deref(), Some("v"));
-        before.push((router, client));
+        running.push((router, client));
     }
-    before.iter_mut().for_each(|(router, _)| router.child.kill().unwrap());
-    let restarts: Vec<_> = before.into_iter().enumerate().collect();
+    running.iter_mut().for_each(|(router, _)| router.child.kill().unwrap());
+    let restarts: Vec<_> = running.into_iter().enumerate().collect();
     thread::scope(|scope| {
-        for (which, (mut old, mut client)) in restarts {
-            let (start, whole) = (&start, &whole);
+        for (index, (mut old, mut client)) in restarts {
+            let (spawn_router_at, full_list) = (&spawn_router_at, &full_list);
             scope.spawn(move || {
                 old.child.wait().unwrap();
                 assert!(client.read_answer().is_none());
                 let list = spawn_list();
-                let knows = which < PROCESSES / 2;
-                let known = if knows { whole.as_str() } else { "null" };
-                let new = start(&old.addr.to_string(), &list, known);
-                if !knows {
-                    let answers = (0..CALLS_TO_BE_READY).map(|_| Reply::Respond(http_ok(whole)));
-                    let mut replies = first_reply(which, whole).into_iter().chain(answers);
-                    // A machine that stands still for a second spoils a call too: then the next one is
+                let has_known_list = index < PROCESSES / 2;
+                let known = if has_known_list { full_list.as_str() } else { "null" };
+                let new = spawn_router_at(&old.addr.to_string(), &list, known);
+                if !has_known_list {
+                    let answers = (0..REQUESTS_UNTIL_READY).map(|_| Reply::Respond(http_ok(full_list)));
+                    let mut replies = first_reply(index, full_list).into_iter().chain(answers);
+                    // A machine that stalls for a second makes a request fail too; then the next one is
                     // answered.
                     while !list.next_request().contains("?after=41&") {
                         list.replies
-                            .send(replies.next().expect("no more calls than there is time for"))
+                            .send(replies.next().expect("more requests than fit into the time"))
                             .unwrap();
                     }
                 }
--- a/crates/router/tests/router/list_watch.rs
+++ b/crates/router/tests/router/list_watch.rs
@@ -27,7 +27,7 @@
     router
 }
 
-fn read_value(client: &mut Client) -> Option<String> {
+fn request_value(client: &mut Client) -> Option<String> {
     client.request(&statement("look", "k", "15000", "")).value
 }
 
@@ -56,8 +56,8 @@
     list.respond(http_ok(&list_response(42, false, &[host_entry("s-1", old.addr, "Terminating")])));
     assert!(list.next_request().contains("?after=42&"));
     let mut client = Client::open(router.addr);
-    while read_value(&mut client).as_deref() != Some("new") {}
-    assert!((0..20).all(|_| read_value(&mut client).as_deref() == Some("new")));
+    while request_value(&mut client).as_deref() != Some("new") {}
+    assert!((0..20).all(|_| request_value(&mut client).as_deref() == Some("new")));
 }
 
 #[test]
@@ -68,7 +68,8 @@
     let known = list_response(40, true, &[host_entry("s-1", old.addr, "Ready")]);
     let router = spawn_router(&config(list.addr, &known, LIMITS, &settings(5.0)));
     assert!(list.next_request().contains("?after=40&"));
-    // A client that connects early, with its first query sent together with the startup message.
+    // A client that may connect before the router is ready, with its first query sent right after the startup
+    // message.
     let look = statement("look", "k", "15000", "");
     let mut first = Client::connect(router.addr, &query(&look));
     assert_eq!(first.read_answer(), Some(Answer::default()));
@@ -76,7 +77,7 @@
     assert!(first.request("").empty);
     assert!(list.next_request().contains("?after=40&"), "a silent request is repeated");
     list.respond(http_ok(&moved_host(41, new.addr)));
-    while read_value(&mut first).as_deref() != Some("new") {}
+    while request_value(&mut first).as_deref() != Some("new") {}
 }
 
 /// Bytes that keep arriving keep a request from counting as silent, though it may never bring a change.
@@ -102,7 +103,7 @@
         }
         let mut client = Client::open(router.addr);
         while !client.request("").empty {}
-        while read_value(&mut client).as_deref() != Some("new") {}
+        while request_value(&mut client).as_deref() != Some("new") {}
     }
 }
 
@@ -115,11 +116,11 @@
     let router = spawn_router(&config(saturated.addr, &known, LIMITS, &settings(5.0)));
     wait_for(&router.log, "list failed");
     let mut client = Client::open(router.addr);
-    assert_eq!(read_value(&mut client).as_deref(), Some("old"));
+    assert_eq!(request_value(&mut client).as_deref(), Some("old"));
     let list = spawn_list_on(saturated.into_listener());
     assert!(list.next_request().contains("?after=41&"));
     list.respond(http_ok(&moved_host(42, new.addr)));
-    while read_value(&mut client).as_deref() != Some("new") {}
+    while request_value(&mut client).as_deref() != Some("new") {}
 }
 
 /// A reset does not end a response, whatever was received before it; nor does the end of the connection
@@ -149,11 +150,11 @@
         assert!(list.next_request().contains("?after=41&"), "the truncated response was applied");
     }
     let mut client = Client::open(router.addr);
-    assert_eq!(read_value(&mut client).as_deref(), Some("old"));
+    assert_eq!(request_value(&mut client).as_deref(), Some("old"));
     // With an orderly close after the last byte, the same response is complete.
     list.respond(without_length.into_bytes());
     assert!(list.next_request().contains("?after=42&"));
-    while read_value(&mut client).as_deref() != Some("new") {}
+    while request_value(&mut client).as_deref() != Some("new") {}
 }
 
 /// Applied, a late response would bring back hosts that drain; ignored for good, a service that has restarted
@@ -166,10 +167,10 @@
     list.respond(http_ok(&moved_host(42, new.addr)));
     assert!(list.next_request().contains("?after=42&"));
     let mut client = Client::open(router.addr);
-    while read_value(&mut client).as_deref() != Some("new") {}
+    while request_value(&mut client).as_deref() != Some("new") {}
     list.respond(http_ok(&list_response(41, true, &[host_entry("s-1", old.addr, "Ready")])));
     assert!(list.next_request().starts_with("GET /discovery/hosts HTTP"), "the full list");
-    assert_eq!(read_value(&mut client).as_deref(), Some("new"));
+    assert_eq!(request_value(&mut client).as_deref(), Some("new"));
     // The same version with other white space changes nothing.
     let same_version = list_response(42, true, &[host_entry("s-1", new.addr, "Ready")]).replace(',', ",\n  ");
     list.respond(http_ok(&same_version));
@@ -181,7 +182,7 @@
     assert!(list.next_request().starts_with("GET /discovery/hosts HTTP"));
     list.respond(http_ok(&list_response(1, true, &[host_entry("s-1", old.addr, "Ready")])));
     assert!(list.next_request().contains("?after=1&"));
-    while read_value(&mut client).as_deref() != Some("old") {}
+    while request_value(&mut client).as_deref() != Some("old") {}
 }
 
 /// Whether the watch at the old address waits for a response or, after a failure, for its next request.
@@ -201,8 +202,8 @@
         // A response from the old address no longer has any effect.
         first.respond(http_ok(&moved_host(42, old.addr)));
         let mut client = Client::open(router.addr);
-        while read_value(&mut client).as_deref() != Some("new") {}
-        assert!((0..20).all(|_| read_value(&mut client).as_deref() == Some("new")));
+        while request_value(&mut client).as_deref() != Some("new") {}
+        assert!((0..20).all(|_| request_value(&mut client).as_deref() == Some("new")));
     }
 }
 
@@ -241,7 +242,7 @@
     let peak = status.lines().find(|line| line.starts_with("VmHWM")).unwrap();
     let peak: usize = peak.split_whitespace().nth(1).unwrap().parse().unwrap();
     assert!(peak < 16 * 1024, "{peak} KiB of 32 MiB");
-    assert_eq!(read_value(&mut Client::open(router.addr)).as_deref(), Some("old"));
+    assert_eq!(request_value(&mut Client::open(router.addr)).as_deref(), Some("old"));
 }
 
 /// The first reload blocks on reading a file without end; the second, requested meanwhile, is done once the
