--- a/crates/lab/src/capacity/databases.rs
+++ b/crates/lab/src/capacity/databases.rs
@@ -2,7 +2,7 @@
 //! once, and is counted.
 
 use super::setup;
-use crate::tier::net::{self, Wire};
+use crate::tier::net::{self, BufferedStream};
 use magpiewell_pg::{encode, frame};
 use mio::{Events, Interest, Poll, Token};
 use std::collections::HashMap;
@@ -131,7 +131,7 @@
 }
 
 struct Connection {
-    wire: Wire,
+    wire: BufferedStream,
     zone: usize,
     primary: bool,
     opened: bool,
@@ -198,8 +198,8 @@
 
     fn accept(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
-            let mut wire = Wire::new(stream);
-            let Some(host) = wire.meant().and_then(|at| setup::host_of(*at.ip())) else { continue };
+            let mut wire = BufferedStream::new(stream);
+            let Some(host) = wire.local_addr().and_then(|at| setup::host_of(*at.ip())) else { continue };
             let zone = setup::zone_of(host);
             if self.outages[zone] == Some(Outage::Lost) {
                 wire.reset();
@@ -208,7 +208,7 @@
             }
             let number = self.next;
             self.next += 1;
-            if wire.watch(self.poll.registry(), Token(number)).is_err() {
+            if wire.register(self.poll.registry(), Token(number)).is_err() {
                 continue;
             }
             self.counts.accepted.fetch_add(1, Relaxed);
@@ -223,16 +223,16 @@
         if self.outages[connection.zone] == Some(Outage::Silent) {
             return;
         }
-        let had = connection.wire.came.len();
+        let had = connection.wire.received.len();
         connection.wire.read();
-        self.counts.bytes_in.fetch_add((connection.wire.came.len() - had) as u64, Relaxed);
+        self.counts.bytes_in.fetch_add((connection.wire.received.len() - had) as u64, Relaxed);
         let reads = self.counts.reads.load(Relaxed);
         let sound = connection.answer(&self.counts);
         if self.outages[connection.zone].is_some() {
             self.counts.reads_in_outage.fetch_add(self.counts.reads.load(Relaxed) - reads, Relaxed);
         }
         connection.wire.write();
-        if connection.wire.ended || !sound {
+        if connection.wire.closed || !sound {
             self.connections.remove(&number);
             self.counts.open.fetch_sub(1, Relaxed);
         }
@@ -243,19 +243,19 @@
     /// Answers what has come whole; false where it is no message.
     fn answer(&mut self, counts: &Counts) -> bool {
         if !self.opened {
-            match frame::startup(&self.wire.came, STARTUP_BYTES) {
-                Ok(Some((_, body))) => drop(self.wire.came.drain(..body.end)),
+            match frame::startup(&self.wire.received, STARTUP_BYTES) {
+                Ok(Some((_, body))) => drop(self.wire.received.drain(..body.end)),
                 Ok(None) => return true,
                 Err(_) => return false,
             }
             self.opened = true;
-            encode::startup_reply(&mut self.wire.out);
+            encode::startup_reply(&mut self.wire.outgoing);
         }
         loop {
-            match frame::message(&self.wire.came, STATEMENT_BYTES) {
+            match frame::message(&self.wire.received, STATEMENT_BYTES) {
                 Ok(Some((b'Q', body))) => {
-                    let is_read = self.wire.came[body.clone()].starts_with(b"SELECT");
-                    self.wire.came.drain(..body.end);
+                    let is_read = self.wire.received[body.clone()].starts_with(b"SELECT");
+                    self.wire.received.drain(..body.end);
                     let count = if is_read { &counts.reads } else { &counts.probes };
                     count.fetch_add(1, Relaxed);
                     self.row(if is_read { "SELECT 1" } else { "SHOW" });
@@ -273,7 +273,7 @@
         let described = [&1u16.to_be_bytes()[..], b"v\0", &[0; 18]].concat();
         let value = b"\\x9f";
         let row = [&1u16.to_be_bytes()[..], &(value.len() as u32).to_be_bytes(), value].concat();
-        let out = &mut self.wire.out;
+        let out = &mut self.wire.outgoing;
         out.extend(message(b'T', &described));
         out.extend(message(b'D', &row));
         out.extend(message(b'C', format!("{tag}\0").as_bytes()));
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use magpiewell_lab::scale::{self, prove};
-use magpiewell_lab::tier::{net::Epoch, play, report, script::Script};
+use magpiewell_lab::tier::{net::Epoch, report, runner, script::Script};
 use magpiewell_lab::{capacity, demo, limit, spread};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -137,8 +137,8 @@
 
 fn spread(seed: u64, routers: Option<usize>, router: PathBuf, html: Option<PathBuf>) -> Result<bool, String> {
     let lab = std::env::current_exe().map_err(|e| e.to_string())?;
-    let folder = play::folder("spread");
-    let stage = play::Stage { router, lab, folder: folder.clone() };
+    let folder = runner::default_folder("spread");
+    let stage = runner::Environment { router, lab, folder: folder.clone() };
     let proved = spread::prove(&stage, seed, routers, html.as_deref());
     drop(std::fs::remove_dir_all(&folder));
     proved
@@ -146,7 +146,7 @@
 
 fn scale(request: &prove::Request, router: PathBuf, html: Option<&Path>) -> Result<bool, String> {
     let lab = std::env::current_exe().map_err(|e| e.to_string())?;
-    let folder = play::folder("scale");
+    let folder = runner::default_folder("scale");
     let stage = scale::play::Stage { router, lab, folder: folder.clone() };
     let proved = prove::prove(request, &stage, html);
     drop(std::fs::remove_dir_all(&folder));
@@ -155,17 +155,17 @@
 
 fn tier(script: &Path, seed: Option<u64>, router: PathBuf, folder: Option<PathBuf>) -> Result<bool, String> {
     let text = std::fs::read_to_string(script).map_err(|e| format!("{}: {e}", script.display()))?;
-    let mut script = Script::read(&text)?;
+    let mut script = Script::from_toml(&text)?;
     script.seed = seed.unwrap_or(script.seed);
     let lab = std::env::current_exe().map_err(|e| e.to_string())?;
     let kept = folder.is_some();
-    let folder = folder.unwrap_or_else(|| play::folder("play"));
-    let played = play::play(script, &play::Stage { router, lab, folder: folder.clone() });
+    let folder = folder.unwrap_or_else(|| runner::default_folder("play"));
+    let played = runner::run(script, &runner::Environment { router, lab, folder: folder.clone() });
     if !kept {
         drop(std::fs::remove_dir_all(&folder));
     }
     let played = played?;
-    report::lines(&played).iter().for_each(|line| println!("{line}"));
+    report::summary_lines(&played).iter().for_each(|line| println!("{line}"));
     Ok(played.verdict.breaches.is_empty() && played.crashed.is_empty())
 }
 
@@ -182,11 +182,13 @@
             scale(&request, router, html.as_deref())
         }
         What::Hollow { plan, process, mono, unix } => {
-            scale::hollow_process::run(&plan, process, Epoch { mono, unix }).map(|()| true)
+            scale::hollow_process::run(&plan, process, Epoch { monotonic_ms: mono, unix_ms: unix })
+                .map(|()| true)
         }
         What::Capacity { seed, part, router } => capacity::run(&router, part, seed),
         What::Hosts { script, part, mono, unix, record } => {
-            play::hosts(&script, part, Epoch { mono, unix }, &record).map(|()| true)
+            runner::run_hosts(&script, part, Epoch { monotonic_ms: mono, unix_ms: unix }, &record)
+                .map(|()| true)
         }
     };
     match done {
--- a/crates/lab/src/scale/fault.rs
+++ b/crates/lab/src/scale/fault.rs
@@ -2,7 +2,7 @@
 //! each other. No I/O.
 
 use super::plan::Member;
-use crate::tier::script::draw;
+use crate::tier::script::random_unit;
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
@@ -22,6 +22,6 @@
 
     /// Whether this datagram is lost, drawn anew each time.
     pub fn loses(&self, from: Member, to: Member, chance: &mut ChaCha8Rng) -> bool {
-        self.cuts(from, to) || (self.loss > 0.0 && draw(chance) < self.loss)
+        self.cuts(from, to) || (self.loss > 0.0 && random_unit(chance) < self.loss)
     }
 }
--- a/crates/lab/src/scale/hollow_process.rs
+++ b/crates/lab/src/scale/hollow_process.rs
@@ -34,7 +34,7 @@
 impl Place {
     /// Unix ms by the routers' clocks at a time since the start.
     fn unix(&self, at: f64) -> f64 {
-        self.epoch.unix + at + self.clock_off_ms
+        self.epoch.unix_ms + at + self.clock_off_ms
     }
 }
 
--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab/src/scale/plan.rs
@@ -3,7 +3,7 @@
 //! process reads the same from it.
 
 use super::fault::Faults;
-use crate::tier::script::draw;
+use crate::tier::script::random_unit;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use serde::{Deserialize, Serialize};
@@ -208,8 +208,8 @@
         let count = (self.members() / ROUTERS_PER_CHANGE).max(1) as u32;
         let mut changes: Vec<PrimaryChange> = (0..count)
             .map(|number| PrimaryChange {
-                after_ms: draw(&mut chance) * CHANGES_WITHIN_MS,
-                observer: live[(draw(&mut chance) * live.len() as f64) as usize],
+                after_ms: random_unit(&mut chance) * CHANGES_WITHIN_MS,
+                observer: live[(random_unit(&mut chance) * live.len() as f64) as usize],
                 group: FIRST_GROUP + number,
                 host: FIRST_HOST + number,
             })
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -85,7 +85,7 @@
             let file = stage.folder.join(name);
             std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
         }
-        let epoch = Epoch::start(0.0);
+        let epoch = Epoch::starting_in(0.0);
         let recorder = Arc::new(Recorder::new(plan, epoch));
         let (processes, faults) = (HashMap::new(), plan.standing_faults());
         let mut play = Play { plan, epoch, recorder, stage, processes, usage_at: 0.0, faults };
@@ -122,8 +122,8 @@
         let mut command = std::process::Command::new(&self.stage.lab);
         command.arg("hollow").arg("--plan").arg(self.stage.folder.join(PLAN));
         command.arg("--process").arg(process.to_string());
-        command.arg("--mono").arg(self.epoch.mono.to_string());
-        command.arg("--unix").arg(self.epoch.unix.to_string());
+        command.arg("--mono").arg(self.epoch.monotonic_ms.to_string());
+        command.arg("--unix").arg(self.epoch.unix_ms.to_string());
         command.stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", self.stage.lab.display()))?;
         let lines = BufReader::new(child.stdout.take().expect("was asked for")).lines();
--- a/crates/lab/src/spread.rs
+++ b/crates/lab/src/spread.rs
@@ -1,10 +1,10 @@
 //! The proof that load is spread evenly although each router sees little: hundreds of router processes with the script's
 //! faults, told one another and not, and what one router that sees everything would have done with the same reads.
 
-use crate::tier::play::{self, Played, Stage};
 use crate::tier::record::{Record, Seen};
 use crate::tier::report::{self, WINDOW_MS};
-use crate::tier::script::{Script, What, draw};
+use crate::tier::runner::{self, Environment, RunOutcome};
+use crate::tier::script::{Script, What, random_unit};
 use plotters::prelude::*;
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -35,10 +35,10 @@
     TwoChoices,
 }
 
-/// Parts of replicas' reads, as [`report::evenness`] counts them, had this one chosen.
-pub fn chosen(played: &Played, chooser: Chooser, from: f64, until: f64) -> report::Evenness {
+/// Parts of replicas' reads, as [`report::outcome_share_stats`] counts them, had this one chosen.
+pub fn chosen(played: &RunOutcome, chooser: Chooser, from: f64, until: f64) -> report::ShareStats {
     let (plan, s) = (&played.plan, &played.plan.script);
-    let mut chance = s.chance(900);
+    let mut chance = s.rng(900);
     let mut done: HashMap<usize, f64> = HashMap::new();
     let mut turns: HashMap<(u32, usize), usize> = HashMap::new();
     let mut record = Record::new();
@@ -64,7 +64,7 @@
             continue;
         }
         let busy = |h: &usize| done.get(h).copied().unwrap_or(0.0) / s.size(*h);
-        let one = |chance: &mut ChaCha8Rng| replicas[(draw(chance) * replicas.len() as f64) as usize];
+        let one = |chance: &mut ChaCha8Rng| replicas[(random_unit(chance) * replicas.len() as f64) as usize];
         let to = match chooser {
             Chooser::Floor => {
                 replicas.iter().copied().min_by(|a, b| busy(a).total_cmp(&busy(b))).unwrap_or(0)
@@ -75,8 +75,9 @@
                 if busy(&a) <= busy(&b) { a } else { b }
             }
             Chooser::RoundRobin => {
-                let turn =
-                    turns.entry((router, group)).or_insert_with(|| (draw(&mut chance) * 64.0) as usize);
+                let turn = turns
+                    .entry((router, group))
+                    .or_insert_with(|| (random_unit(&mut chance) * 64.0) as usize);
                 *turn += 1;
                 replicas[*turn % replicas.len()]
             }
@@ -84,33 +85,37 @@
         *done.entry(to).or_default() += 1.0;
         record.push((*at, Seen::Got { op, host: to as u32, router }));
     }
-    report::parts(plan, &record, from, until)
+    report::share_stats(plan, &record, from, until)
 }
 
 /// The most that a warm replica got, in any second after an event, over its part.
-fn after_events(played: &Played) -> f64 {
+fn after_events(played: &RunOutcome) -> f64 {
     let s = &played.plan.script;
     let ends = s.faults.iter().flat_map(|f| [f.at_ms, f.at_ms + f.for_ms]);
     let during = ends.filter(|at| (1.0..s.lasts_ms - 1_000.0).contains(at));
     during
-        .map(|at| report::parts_in(&played.plan, &played.record, at, at + 1_000.0, 1_000.0).p100)
+        .map(|at| {
+            report::share_stats_with_window(&played.plan, &played.record, at, at + 1_000.0, 1_000.0).max
+        })
         .fold(0.0, f64::max)
 }
 
 /// The least that a replica got of its part in two seconds that began five seconds after it became healthy and warm.
-fn idle(played: &Played) -> f64 {
+fn idle(played: &RunOutcome) -> f64 {
     let s = &played.plan.script;
     let cold = s.host.cold_ms;
     let healed = s.faults.iter().filter(|f| matches!(f.what, What::CutZone { .. } | What::Crash { .. }));
     let from: Vec<f64> = healed.map(|f| f.at_ms + f.for_ms + 5_000.0).chain([5_000.0]).collect();
     let in_time = from.into_iter().filter(|at| at + WINDOW_MS < s.lasts_ms && *at > 0.0 && cold > 0.0);
     in_time
-        .map(|at| report::parts_in(&played.plan, &played.record, at, at + WINDOW_MS, WINDOW_MS).least)
+        .map(|at| {
+            report::share_stats_with_window(&played.plan, &played.record, at, at + WINDOW_MS, WINDOW_MS).min
+        })
         .fold(1.0, f64::min)
 }
 
 /// Datagrams a second and router in the last part of a play.
-fn steady(played: &Played) -> f64 {
+fn steady(played: &RunOutcome) -> f64 {
     let (from, until) = (STEADY_FROM_MS, played.plan.ends_at());
     let told =
         played.record.iter().filter(|(at, _)| (from..until).contains(at)).filter_map(
@@ -122,13 +127,18 @@
     told.sum::<f64>() / played.plan.script.routers as f64 / ((until - from) / 1e3)
 }
 
-fn processor(played: &Played) -> f64 {
-    played.used_ms.iter().sum::<f64>() / played.plan.script.routers as f64 / played.plan.ends_at()
+fn processor(played: &RunOutcome) -> f64 {
+    played.processor_ms.iter().sum::<f64>() / played.plan.script.routers as f64 / played.plan.ends_at()
 }
 
 /// Plays all, prints the figures, writes the report; true where every promise was kept and the control broke one.
-pub fn prove(stage: &Stage, seed: u64, routers: Option<usize>, html: Option<&Path>) -> Result<bool, String> {
-    let mut script = Script::read(SCRIPT)?;
+pub fn prove(
+    stage: &Environment,
+    seed: u64,
+    routers: Option<usize>,
+    html: Option<&Path>,
+) -> Result<bool, String> {
+    let mut script = Script::from_toml(SCRIPT)?;
     script.seed = seed;
     if let Some(routers) = routers {
         let part = routers as f64 / script.routers as f64;
@@ -144,9 +154,9 @@
             script.hosts,
             script.lasts_ms / 1e3
         );
-        let played = play::play(script, stage)?;
-        report::lines(&played).iter().for_each(|line| println!("  {line}"));
-        Ok::<Played, String>(played)
+        let played = runner::run(script, stage)?;
+        report::summary_lines(&played).iter().for_each(|line| println!("  {line}"));
+        Ok::<RunOutcome, String>(played)
     };
     let quiet = Script { faults: Vec::new(), lasts_ms: STEADY_MS, ..script.clone() };
     let alone = Script { tier: None, ..script.clone() };
@@ -156,11 +166,12 @@
     let off = play("alone: the control", alone)?;
     let (from, until) = (0.0, on.plan.script.lasts_ms);
     println!("parts of warm replicas in windows of two seconds: p99, median, least");
-    let show = |name: &str, e: report::Evenness| {
-        println!("  {name}: {:.2} {:.2} {:.2} of {}", e.p99, e.median, e.least, e.windows)
+    let show = |name: &str, e: report::ShareStats| {
+        println!("  {name}: {:.2} {:.2} {:.2} of {}", e.p99, e.median, e.min, e.count)
     };
     let floor = chosen(&on, Chooser::Floor, from, until);
-    let (mine, control) = (report::evenness(&on, from, until), report::evenness(&off, from, until));
+    let (mine, control) =
+        (report::outcome_share_stats(&on, from, until), report::outcome_share_stats(&off, from, until));
     show("told one another", mine);
     show("alone", control);
     show("one that sees everything: the floor", floor);
@@ -204,7 +215,7 @@
     Ok(broken.is_empty())
 }
 
-fn write_report(to: &Path, on: &Played, off: &Played, seed: u64) -> Result<(), String> {
+fn write_report(to: &Path, on: &RunOutcome, off: &RunOutcome, seed: u64) -> Result<(), String> {
     let mut page = format!(
         "<!doctype html><meta charset=utf-8><title>Load over hosts, seed {seed}</title>\n\
          <h1>Load over hosts, seed {seed}</h1>\n<p>Each line is a warm replica's reads in a second over its part of its \
@@ -216,13 +227,13 @@
     std::fs::write(to, page).map_err(|e| format!("{}: {e}", to.display()))
 }
 
-fn plot(played: &Played) -> Result<String, Box<dyn std::error::Error>> {
+fn plot(played: &RunOutcome) -> Result<String, Box<dyn std::error::Error>> {
     let s = &played.plan.script;
     let seconds = (s.lasts_ms / 1e3) as usize;
     let mut lines: HashMap<usize, Vec<(f64, f64)>> = HashMap::new();
     for second in 0..seconds {
         let (from, until) = (second as f64 * 1e3, (second + 1) as f64 * 1e3);
-        for (host, part) in report::each(&played.plan, &played.record, from, until) {
+        for (host, part) in report::replica_shares(&played.plan, &played.record, from, until) {
             lines.entry(host).or_default().push((second as f64, part.min(4.0)));
         }
     }
--- a/crates/lab/src/tier/clients.rs
+++ b/crates/lab/src/tier/clients.rs
@@ -1,10 +1,10 @@
 //! The clients: one loop asks ops at random times of all routers, each answer recorded; a client gives up only long
 //! after its time, so that what comes late is seen.
 
-use super::net::{Epoch, Wire};
+use super::net::{BufferedStream, Epoch};
 use super::plan::Plan;
 use super::record::{How, Kind, Record, Seen};
-use super::script::draw;
+use super::script::random_unit;
 use magpiewell_pg::{encode, frame};
 use mio::{Events, Poll, Token};
 use rand_chacha::ChaCha8Rng;
@@ -21,7 +21,7 @@
 const SESSIONS: u64 = 8;
 
 struct Client {
-    wire: Wire,
+    wire: BufferedStream,
     router: usize,
     opened: bool,
     op: Option<Op>,
@@ -84,10 +84,11 @@
 impl Crowd<'_> {
     fn go(&mut self) -> Result<(), String> {
         let (s, mut events) = (&self.plan.script, Events::with_capacity(1_024));
-        let mut chance = s.chance(1);
+        let mut chance = s.rng(1);
         // Some routers get several times what others do.
-        let weights: Vec<f64> =
-            (0..s.routers).map(|_| 1.0 + draw(&mut chance).powi(3) * (s.load.skew - 1.0).max(0.0)).collect();
+        let weights: Vec<f64> = (0..s.routers)
+            .map(|_| 1.0 + random_unit(&mut chance).powi(3) * (s.load.skew - 1.0).max(0.0))
+            .collect();
         let mut ask_at = 0.0;
         loop {
             let now = self.epoch.now();
@@ -109,7 +110,7 @@
             let now = self.epoch.now();
             while ask_at <= now && ask_at < s.lasts_ms && s.load.ops > 0.0 {
                 self.ask(now, &weights, &mut chance);
-                ask_at += -(1.0 - draw(&mut chance)).ln() * 1e3 / s.load.ops;
+                ask_at += -(1.0 - random_unit(&mut chance)).ln() * 1e3 / s.load.ops;
             }
             while let Some((at, no)) = self.leaves.first_key_value().map(|(at, no)| (*at, *no)) {
                 if (at >> 20) as f64 > now {
@@ -125,7 +126,7 @@
     }
 
     fn kind(&self, chance: &mut ChaCha8Rng) -> Kind {
-        let (l, mut lot) = (&self.plan.script.load, draw(chance));
+        let (l, mut lot) = (&self.plan.script.load, random_unit(chance));
         for (part, kind) in [
             (l.tokened, Kind::Tokened),
             (l.once, Kind::Once),
@@ -146,7 +147,7 @@
         let kind = self.kind(chance);
         let group = pick(&self.asked, chance) as u32;
         let first = pick(weights, chance);
-        let session_lot = (draw(chance) * SESSIONS as f64) as u64;
+        let session_lot = (random_unit(chance) * SESSIONS as f64) as u64;
         let Some(router) = (0..s.routers).map(|n| (first + n) % s.routers).find(|r| self.away[*r] <= now)
         else {
             return;
@@ -164,13 +165,13 @@
         let life = self.lives.0[router].load(Relaxed);
         // Without such clients plays stay as they were.
         let leave = s.load.leave;
-        let leaves = leave > 0.0 && draw(chance) < leave;
-        let stays = if leaves { WAIT_MS * draw(chance) } else { WAIT_MS + STAYS_MS };
+        let leaves = leave > 0.0 && random_unit(chance) < leave;
+        let stays = if leaves { WAIT_MS * random_unit(chance) } else { WAIT_MS + STAYS_MS };
         let op = Op { id: self.next_op, asked: now, leaves };
         let text = statement(op.id, kind, group, session);
         let Some(client) = self.clients.get_mut(&no) else { return };
         let head = encode::query_header(text.len());
-        client.wire.out.extend([&head[..], text.as_bytes(), &[0]].concat());
+        client.wire.outgoing.extend([&head[..], text.as_bytes(), &[0]].concat());
         (client.op, client.how) = (Some(op), None);
         client.wire.write();
         let router = router as u32;
@@ -179,11 +180,11 @@
     }
 
     fn open(&mut self, router: usize) -> Option<usize> {
-        let mut wire = Wire::dial(self.plan.script.router_at(router)).ok()?;
+        let mut wire = BufferedStream::connect(self.plan.script.router_at(router)).ok()?;
         let no = self.next;
         self.next += 1;
-        wire.watch(self.poll.registry(), Token(no)).ok()?;
-        encode::startup_message(&mut wire.out, "svc", "main");
+        wire.register(self.poll.registry(), Token(no)).ok()?;
+        encode::startup_message(&mut wire.outgoing, "svc", "main");
         let client = Client { wire, router, opened: false, op: None, how: None };
         self.clients.insert(no, client);
         Some(no)
@@ -206,13 +207,13 @@
         }
         loop {
             let Some(client) = self.clients.get_mut(&no) else { return };
-            match frame::message(&client.wire.came, 1 << 20) {
+            match frame::message(&client.wire.received, 1 << 20) {
                 Ok(Some((kind, body))) => {
-                    let bytes = client.wire.came[body.clone()].to_vec();
-                    client.wire.came.drain(..body.end);
+                    let bytes = client.wire.received[body.clone()].to_vec();
+                    client.wire.received.drain(..body.end);
                     self.message(no, now, kind, &bytes);
                 }
-                Ok(None) if client.wire.ended => return self.gone(no),
+                Ok(None) if client.wire.closed => return self.gone(no),
                 Ok(None) => return,
                 Err(_) => return self.gone(no),
             }
@@ -267,7 +268,7 @@
         self.idle[client.router].retain(|n| *n != no);
         if let Some(op) = client.op {
             let lost = if client.opened { How::Lost } else { How::Shut };
-            let early = op.leaves && now < op.asked + WAIT_MS && !client.wire.ended;
+            let early = op.leaves && now < op.asked + WAIT_MS && !client.wire.closed;
             self.record.push((
                 now,
                 if early { Seen::Left { op: op.id } } else { Seen::Answered { op: op.id, how: lost } },
@@ -284,7 +285,7 @@
 
 /// One of these by weight.
 fn pick(weights: &[f64], chance: &mut ChaCha8Rng) -> usize {
-    let mut lot = draw(chance) * weights.iter().sum::<f64>();
+    let mut lot = random_unit(chance) * weights.iter().sum::<f64>();
     let found = weights.iter().position(|w| {
         lot -= w;
         lot < 0.0
--- a/crates/lab/src/tier/hosts.rs
+++ b/crates/lab/src/tier/hosts.rs
@@ -2,7 +2,7 @@
 //! the link's faults are done here: what a stalled link holds back is not read, or not written.
 
 use super::machine::{Machine, Took};
-use super::net::{self, Epoch, Wire};
+use super::net::{self, BufferedStream, Epoch};
 use super::plan::{Listed, Plan};
 use super::record::{Kind, Record, Seen, WINDOW_MS};
 use super::script::{A_PROCESS, ends};
@@ -17,7 +17,7 @@
 const BEAT_MS: f64 = 5.0;
 
 struct Conn {
-    wire: Wire,
+    wire: BufferedStream,
     router: usize,
     host: usize,
     opened: bool,
@@ -63,7 +63,7 @@
     poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(|e| e.to_string())?;
     let machine = |host: usize| {
         let started = plan.changes.iter().find(|c| c.host == host && c.listed == Listed::Ready);
-        let chance = plan.script.chance(10_000 + host as u64);
+        let chance = plan.script.rng(10_000 + host as u64);
         Machine::new(&plan.script.host, plan.script.size(host), started.and_then(|c| c.started), chance)
     };
     let machines: Vec<Machine> = (first..last).map(machine).collect();
@@ -130,8 +130,8 @@
 
     fn accept(&mut self, listener: &mio::net::TcpListener) {
         while let Ok((stream, _)) = listener.accept() {
-            let mut wire = Wire::new(stream);
-            let Some((router, low)) = wire.meant().map(|at| ends(at.ip())) else { continue };
+            let mut wire = BufferedStream::new(stream);
+            let Some((router, low)) = wire.local_addr().map(|at| ends(at.ip())) else { continue };
             // The fourth byte is the host's number up to 255; the port tells which process, so which of them.
             let host = (self.first..self.first + self.machines.len()).find(|h| h % 256 == low);
             let Some(host) = host.filter(|_| router < self.plan.script.routers) else { continue };
@@ -143,7 +143,7 @@
             }
             let no = self.next;
             self.next += 1;
-            if wire.watch(self.poll.registry(), Token(no)).is_err() {
+            if wire.register(self.poll.registry(), Token(no)).is_err() {
                 continue;
             }
             self.open[at] += 1;
@@ -168,11 +168,11 @@
                 conn.wire.write();
             }
         }
-        if conn.wire.ended || way.reset {
+        if conn.wire.closed || way.reset {
             return self.close(no, way.reset);
         }
         while let Some(conn) = self.conns.get_mut(&no) {
-            let Ok(message) = next(&mut conn.wire.came, &mut conn.opened) else {
+            let Ok(message) = next(&mut conn.wire.received, &mut conn.opened) else {
                 return self.close(no, false);
             };
             match message {
@@ -251,7 +251,7 @@
         encode::error_response(&mut says, false, code, "turned away", "");
         let (role, pos) = self.tells(conn.host, now);
         says.extend(parameter("server_role", role));
-        says.extend(parameter("commit_clock", &format!("{:.3}", pos + self.epoch.unix)));
+        says.extend(parameter("commit_clock", &format!("{:.3}", pos + self.epoch.unix_ms)));
         says.extend_from_slice(&encode::READY_FOR_QUERY);
         self.say(no, now, says);
     }
@@ -314,7 +314,7 @@
             message(b'D', &data),
             message(b'C', format!("{tag}\0").as_bytes()),
             parameter("server_role", role),
-            parameter("commit_clock", &format!("{:.3}", told + self.epoch.unix)),
+            parameter("commit_clock", &format!("{:.3}", told + self.epoch.unix_ms)),
             encode::READY_FOR_QUERY.to_vec(),
         ]
         .concat()
@@ -327,7 +327,7 @@
             conn.held.push((now + way.delay, says));
             return;
         }
-        conn.wire.out.extend(says);
+        conn.wire.outgoing.extend(says);
         if !way.stalled && !way.mute {
             conn.wire.write();
         } else {
@@ -375,7 +375,7 @@
             let way = self.plan.way(conn.router, conn.host, now);
             let free = conn.held.iter().take_while(|(at, _)| *at <= now).count();
             for (_, says) in conn.held.drain(..free) {
-                conn.wire.out.extend(says);
+                conn.wire.outgoing.extend(says);
             }
             if !way.stalled && !way.mute {
                 conn.wire.write();
--- a/crates/lab/src/tier/judge/tests.rs
+++ b/crates/lab/src/tier/judge/tests.rs
@@ -5,7 +5,7 @@
 
 fn plan() -> Plan {
     let text = "seed = 1\nlasts_ms = 9000\nrouters = 2\nzones = 1\ngroups = 1\nhosts = 3\n[load]\nops = 1\n";
-    Plan::new(Script::read(text).unwrap())
+    Plan::new(Script::from_toml(text).unwrap())
 }
 
 fn asked(op: u64, at: f64, kind: Kind) -> (f64, Seen) {
--- a/crates/lab/src/tier/list.rs
+++ b/crates/lab/src/tier/list.rs
@@ -1,7 +1,7 @@
 //! The list of hosts as each router is told it: HTTP watches that wait for news. One thread serves all routers; each
 //! calls an address of its own, so that the list can be silent to some.
 
-use super::net::{self, Epoch, Wire};
+use super::net::{self, BufferedStream, Epoch};
 use super::plan::{Change, Listed, Plan};
 use super::record::{Record, Seen};
 use super::script::{What, ends};
@@ -13,7 +13,7 @@
 const BEAT: Duration = Duration::from_millis(5);
 
 struct Watch {
-    wire: Wire,
+    wire: BufferedStream,
     router: usize,
     /// What is waited for, as the version that the router has, and until when.
     waits: Option<(usize, f64)>,
@@ -45,7 +45,7 @@
             Listed::Draining => "Terminating",
             Listed::Gone => "Gone",
         };
-        let started = change.started.map_or(0.0, |at| epoch.unix + at);
+        let started = change.started.map_or(0.0, |at| epoch.unix_ms + at);
         let _ = write!(
             text,
             "{}{{\"id\":\"h-{host}\",\"addr\":\"{}\",\"zone\":\"z{}\",\"kind\":\"m\",\"cell\":{},\"state\":\"{state}\",\
@@ -83,9 +83,9 @@
             return Ok(record);
         }
         while let Ok((stream, _)) = listener.accept() {
-            let mut wire = Wire::new(stream);
-            let Some((router, _)) = wire.meant().map(|at| ends(at.ip())) else { continue };
-            if router < plan.script.routers && wire.watch(poll.registry(), Token(next)).is_ok() {
+            let mut wire = BufferedStream::new(stream);
+            let Some((router, _)) = wire.local_addr().map(|at| ends(at.ip())) else { continue };
+            if router < plan.script.routers && wire.register(poll.registry(), Token(next)).is_ok() {
                 watches.insert(next, Watch { wire, router, waits: None });
                 next += 1;
             }
@@ -99,12 +99,12 @@
         }
         watches.retain(|_, watch| {
             if silent[watch.router] {
-                return !watch.wire.ended;
+                return !watch.wire.closed;
             }
             if watch.waits.is_none()
-                && let Some(end) = watch.wire.came.windows(4).position(|w| w == b"\r\n\r\n")
+                && let Some(end) = watch.wire.received.windows(4).position(|w| w == b"\r\n\r\n")
             {
-                let head: Vec<u8> = watch.wire.came.drain(..end + 4).collect();
+                let head: Vec<u8> = watch.wire.received.drain(..end + 4).collect();
                 let head = String::from_utf8_lossy(&head);
                 let path = head.split("\r\n").next().unwrap_or("");
                 let after = number(path, "after").map(|v| v.max(0.0) as usize);
@@ -117,8 +117,8 @@
                 if after.is_none() || news || now >= until {
                     let (body, told) = page(plan, watch.router, after, now, &epoch);
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-                    watch.wire.out.extend(head.into_bytes());
-                    watch.wire.out.extend(body.into_bytes());
+                    watch.wire.outgoing.extend(head.into_bytes());
+                    watch.wire.outgoing.extend(body.into_bytes());
                     watch.wire.write();
                     watch.waits = None;
                     let router = watch.router as u32;
@@ -128,7 +128,7 @@
                     }));
                 }
             }
-            !watch.wire.ended
+            !watch.wire.closed
         });
     }
 }
--- a/crates/lab/src/tier/machine.rs
+++ b/crates/lab/src/tier/machine.rs
@@ -1,7 +1,7 @@
 //! A stand-in host: cores, a queue, a position in its group's log, cold after a start, falling over when pushed. Events
 //! in, what comes of them out; no I/O, no clock.
 
-use super::script::{HostFacts, draw};
+use super::script::{HostFacts, random_unit};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 use std::collections::VecDeque;
@@ -114,8 +114,8 @@
     }
 
     /// Chance of its own, in [0, 1).
-    pub fn draw(&mut self) -> f64 {
-        draw(&mut self.chance)
+    pub fn random_unit(&mut self) -> f64 {
+        random_unit(&mut self.chance)
     }
 }
 
--- a/crates/lab/src/tier/mod.rs
+++ b/crates/lab/src/tier/mod.rs
@@ -9,7 +9,8 @@
 pub mod net;
 pub mod peers;
 pub mod plan;
-pub mod play;
+
 pub mod record;
 pub mod report;
+pub mod runner;
 pub mod script;
--- a/crates/lab/src/tier/net.rs
+++ b/crates/lab/src/tier/net.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Time that all processes of a play agree on, in ms: the machine's monotonic clock.
-pub fn clock() -> f64 {
+pub fn monotonic_now_ms() -> f64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as f64 * 1e3 + now.tv_nsec as f64 / 1e6
 }
@@ -18,20 +18,20 @@
 /// When a play began, on the monotonic clock and as Unix ms.
 #[derive(Clone, Copy, Debug)]
 pub struct Epoch {
-    pub mono: f64,
-    pub unix: f64,
+    pub monotonic_ms: f64,
+    pub unix_ms: f64,
 }
 
 impl Epoch {
     /// Begins in so many ms.
-    pub fn start(in_ms: f64) -> Epoch {
+    pub fn starting_in(in_ms: f64) -> Epoch {
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        Epoch { mono: clock() + in_ms, unix: unix.as_secs_f64() * 1e3 + in_ms }
+        Epoch { monotonic_ms: monotonic_now_ms() + in_ms, unix_ms: unix.as_secs_f64() * 1e3 + in_ms }
     }
 
     /// Ms since the play's start.
     pub fn now(&self) -> f64 {
-        clock() - self.mono
+        monotonic_now_ms() - self.monotonic_ms
     }
 }
 
@@ -55,7 +55,7 @@
     open().map_err(|e: std::io::Error| format!("cannot listen at port {port}: {e}"))
 }
 
-pub fn hear(port: u16) -> Result<UdpSocket, String> {
+pub fn bind_udp(port: u16) -> Result<UdpSocket, String> {
     let open = || {
         let socket = on_loopback(Type::DGRAM, Protocol::UDP, port)?;
         let _ = socket.set_recv_buffer_size(8 << 20);
@@ -65,50 +65,50 @@
 }
 
 /// A connection.
-pub struct Wire {
+pub struct BufferedStream {
     pub stream: TcpStream,
-    pub came: Vec<u8>,
-    pub out: Vec<u8>,
+    pub received: Vec<u8>,
+    pub outgoing: Vec<u8>,
     /// The other side has ended or broken it.
-    pub ended: bool,
+    pub closed: bool,
 }
 
-impl Wire {
-    pub fn new(stream: TcpStream) -> Wire {
+impl BufferedStream {
+    pub fn new(stream: TcpStream) -> BufferedStream {
         let _ = stream.set_nodelay(true);
-        Wire { stream, came: Vec::new(), out: Vec::new(), ended: false }
+        BufferedStream { stream, received: Vec::new(), outgoing: Vec::new(), closed: false }
     }
 
-    pub fn dial(to: SocketAddrV4) -> std::io::Result<Wire> {
-        Ok(Wire::new(TcpStream::connect(SocketAddr::V4(to))?))
+    pub fn connect(to: SocketAddrV4) -> std::io::Result<BufferedStream> {
+        Ok(BufferedStream::new(TcpStream::connect(SocketAddr::V4(to))?))
     }
 
-    pub fn watch(&mut self, registry: &Registry, token: Token) -> std::io::Result<()> {
+    pub fn register(&mut self, registry: &Registry, token: Token) -> std::io::Result<()> {
         self.stream.register(registry, token, Interest::READABLE | Interest::WRITABLE)
     }
 
     /// Takes in what is there.
     pub fn read(&mut self) {
         let mut chunk = [0; 16 * 1024];
-        while !self.ended {
+        while !self.closed {
             match self.stream.read(&mut chunk) {
-                Ok(0) => self.ended = true,
-                Ok(n) => self.came.extend_from_slice(&chunk[..n]),
+                Ok(0) => self.closed = true,
+                Ok(n) => self.received.extend_from_slice(&chunk[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => self.ended = true,
+                Err(_) => self.closed = true,
             }
         }
     }
 
     /// Writes what the other side takes.
     pub fn write(&mut self) {
-        while !self.out.is_empty() && !self.ended {
-            match self.stream.write(&self.out) {
-                Ok(n) => drop(self.out.drain(..n)),
+        while !self.outgoing.is_empty() && !self.closed {
+            match self.stream.write(&self.outgoing) {
+                Ok(n) => drop(self.outgoing.drain(..n)),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => self.ended = true,
+                Err(_) => self.closed = true,
             }
         }
     }
@@ -119,7 +119,7 @@
     }
 
     /// The address that the other side meant.
-    pub fn meant(&self) -> Option<SocketAddrV4> {
+    pub fn local_addr(&self) -> Option<SocketAddrV4> {
         match self.stream.local_addr() {
             Ok(SocketAddr::V4(at)) => Some(at),
             _ => None,
--- a/crates/lab/src/tier/peers.rs
+++ b/crates/lab/src/tier/peers.rs
@@ -4,7 +4,7 @@
 use super::net::{self, Epoch};
 use super::plan::Plan;
 use super::record::{Record, Seen};
-use super::script::{What, draw, peer_ends};
+use super::script::{What, peer_ends, random_unit};
 use nix::sys::socket::{
     ControlMessage, ControlMessageOwned, MsgFlags, SockaddrIn, recvmsg, sendmsg, setsockopt, sockopt,
 };
@@ -33,14 +33,14 @@
 pub fn run(plan: &Plan, epoch: Epoch) -> Result<Record, String> {
     let s = &plan.script;
     let mut poll = mio::Poll::new().map_err(|e| e.to_string())?;
-    let mut socket = net::hear(s.peer_at(0, 0).port())?;
+    let mut socket = net::bind_udp(s.peer_at(0, 0).port())?;
     setsockopt(&socket, sockopt::Ipv4PacketInfo, &true).map_err(|e| e.to_string())?;
     poll.registry()
         .register(&mut socket, mio::Token(0), mio::Interest::READABLE)
         .map_err(|e| e.to_string())?;
     let mut events = mio::Events::with_capacity(16);
     let (mut order, mut held) = (BinaryHeap::<Reverse<(u64, u64)>>::new(), HashMap::<u64, Held>::new());
-    let (mut next, mut chance, mut lies) = (0, s.chance(77), s.chance(78));
+    let (mut next, mut chance, mut lies) = (0, s.rng(77), s.rng(78));
     let (mut told, mut record, mut note_at, mut lied_at) = (vec![(0, 0); s.routers], Record::new(), 0.0, 0.0);
     loop {
         let now = epoch.now();
@@ -59,15 +59,18 @@
             let to: Vec<usize> = if to == ALL { (0..s.routers).collect() } else { vec![to] };
             for to in to.into_iter().filter(|to| *to < s.routers && *to != from) {
                 let way = plan.peer_way(from, to, now);
-                if draw(&mut chance) < way.loses {
+                if random_unit(&mut chance) < way.loses {
                     continue;
                 }
-                let copies = if draw(&mut chance) < way.doubles { 2 } else { 1 };
+                let copies = if random_unit(&mut chance) < way.doubles { 2 } else { 1 };
                 for copy in 0..copies {
-                    let jitter = 0.2 + draw(&mut chance) * 0.8 + f64::from(copy) * 30.0 * draw(&mut chance);
+                    let jitter = 0.2
+                        + random_unit(&mut chance) * 0.8
+                        + f64::from(copy) * 30.0 * random_unit(&mut chance);
                     // Stalled, it waits for the end of that, and all come together.
-                    let due =
-                        way.stalled_until.unwrap_or(now) + way.delay * (0.5 + draw(&mut chance)) + jitter;
+                    let due = way.stalled_until.unwrap_or(now)
+                        + way.delay * (0.5 + random_unit(&mut chance))
+                        + jitter;
                     next += 1;
                     held.insert(next, Held { from, to, bytes: bytes.clone() });
                     order.push(Reverse(((due * 1e3) as u64, next)));
@@ -119,10 +122,10 @@
     let Some(rate) = rate.filter(|rate| *rate > 0.0) else { return };
     while *at < now {
         *at = at.max(now - 1_000.0) + 1_000.0 / rate;
-        let mut bytes = vec![0; 1 + (draw(chance) * MOST as f64) as usize];
+        let mut bytes = vec![0; 1 + (random_unit(chance) * MOST as f64) as usize];
         chance.fill_bytes(&mut bytes);
         let routers = plan.script.routers as f64;
-        tell((draw(chance) * routers) as usize, (draw(chance) * routers) as usize, bytes);
+        tell((random_unit(chance) * routers) as usize, (random_unit(chance) * routers) as usize, bytes);
     }
 }
 
--- a/crates/lab/src/tier/plan.rs
+++ b/crates/lab/src/tier/plan.rs
@@ -327,7 +327,7 @@
         let text = format!(
             "seed = 7\nlasts_ms = 9000\nrouters = 6\nzones = 3\ngroups = 2\nhosts = 6\n[load]\nops = 10\n{faults}"
         );
-        Plan::new(Script::read(&text).unwrap())
+        Plan::new(Script::from_toml(&text).unwrap())
     }
 
     #[test]
@@ -371,13 +371,13 @@
     fn faulty_scripts_name_what_is_wrong() {
         let whole =
             "seed = 1\nlasts_ms = 9\nrouters = 1\nzones = 1\ngroups = 1\nhosts = 1\n[load]\nops = 1\n";
-        assert!(Script::read(whole).is_ok());
+        assert!(Script::from_toml(whole).is_ok());
         for (from, to, named) in [
             ("routers = 1", "routers = 0", "routers"),
             ("hosts = 1", "host_ = 1", "host_"),
             ("ops = 1", "", "ops"),
         ] {
-            assert!(Script::read(&whole.replace(from, to)).unwrap_err().contains(named), "{named}");
+            assert!(Script::from_toml(&whole.replace(from, to)).unwrap_err().contains(named), "{named}");
         }
     }
 }
--- a/crates/lab/src/tier/report.rs
+++ b/crates/lab/src/tier/report.rs
@@ -1,19 +1,19 @@
 //! What a play came to, in lines: counts, breaches, and how evenly hosts were used.
 
 use super::plan::{Listed, Plan};
-use super::play::Played;
 use super::record::{Record, Seen};
+use super::runner::RunOutcome;
 use std::collections::HashMap;
 
 /// Warm replicas' reads in windows, over what their sizes make their part of their group's.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Evenness {
+pub struct ShareStats {
     pub p99: f64,
-    pub p100: f64,
+    pub max: f64,
     pub median: f64,
-    pub least: f64,
+    pub min: f64,
     /// Parts counted.
-    pub windows: usize,
+    pub count: usize,
 }
 
 pub const WINDOW_MS: f64 = 2_000.0;
@@ -40,7 +40,7 @@
 }
 
 /// Each counted replica's part in one window.
-pub fn each(plan: &Plan, record: &Record, from: f64, until: f64) -> Vec<(usize, f64)> {
+pub fn replica_shares(plan: &Plan, record: &Record, from: f64, until: f64) -> Vec<(usize, f64)> {
     // The record is in order of time.
     let (a, b) =
         (record.partition_point(|(at, _)| *at < from), record.partition_point(|(at, _)| *at < until));
@@ -64,28 +64,34 @@
 }
 
 /// All windows of so many ms between these times.
-pub fn parts_in(plan: &Plan, record: &Record, from: f64, until: f64, window: f64) -> Evenness {
+pub fn share_stats_with_window(
+    plan: &Plan,
+    record: &Record,
+    from: f64,
+    until: f64,
+    window: f64,
+) -> ShareStats {
     let count = ((until - from) / window) as usize;
     let starts = (0..count).map(|n| from + n as f64 * window);
     let mut parts: Vec<f64> =
-        starts.flat_map(|at| each(plan, record, at, at + window)).map(|(_, part)| part).collect();
+        starts.flat_map(|at| replica_shares(plan, record, at, at + window)).map(|(_, part)| part).collect();
     parts.sort_by(f64::total_cmp);
     let at = |part: f64| parts.get(((parts.len() as f64 - 1.0) * part).max(0.0) as usize).copied();
     let some = |part| at(part).unwrap_or(1.0);
-    Evenness { p99: some(0.99), p100: some(1.0), median: some(0.5), least: some(0.0), windows: parts.len() }
+    ShareStats { p99: some(0.99), max: some(1.0), median: some(0.5), min: some(0.0), count: parts.len() }
 }
 
-pub fn parts(plan: &Plan, record: &Record, from: f64, until: f64) -> Evenness {
-    parts_in(plan, record, from, until, WINDOW_MS)
+pub fn share_stats(plan: &Plan, record: &Record, from: f64, until: f64) -> ShareStats {
+    share_stats_with_window(plan, record, from, until, WINDOW_MS)
 }
 
 /// Between these times, in ms.
-pub fn evenness(played: &Played, from: f64, until: f64) -> Evenness {
-    parts(&played.plan, &played.record, from, until)
+pub fn outcome_share_stats(played: &RunOutcome, from: f64, until: f64) -> ShareStats {
+    share_stats(&played.plan, &played.record, from, until)
 }
 
 /// Lines for a person; the last one holds the figures.
-pub fn lines(played: &Played) -> Vec<String> {
+pub fn summary_lines(played: &RunOutcome) -> Vec<String> {
     let mut lines = Vec::new();
     for (kind, c) in &played.verdict.counts {
         lines.push(format!(
@@ -107,7 +113,7 @@
     }
     let s = &played.plan.script;
     let seconds = played.plan.ends_at() / 1e3;
-    let even = evenness(played, 0.0, s.lasts_ms);
+    let even = outcome_share_stats(played, 0.0, s.lasts_ms);
     lines.push(format!(
         "ops {} acked {:.4} breaches {:?} crashed {} | part p99 {:.2} median {:.2} least {:.2} of {} | of a core a router \
          {:.4} | datagrams a second and router {:.2}, bytes {:.0}",
@@ -117,9 +123,9 @@
         played.crashed.len(),
         even.p99,
         even.median,
-        even.least,
-        even.windows,
-        played.used_ms.iter().sum::<f64>() / s.routers as f64 / (seconds * 1e3),
+        even.min,
+        even.count,
+        played.processor_ms.iter().sum::<f64>() / s.routers as f64 / (seconds * 1e3),
         datagrams as f64 / seconds / s.routers as f64,
         bytes as f64 / seconds / s.routers as f64,
     ));
--- a/crates/lab/src/tier/play.rs
+++ b/crates/lab/src/tier/runner.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 
 /// The programs of a play, and where it may write.
-pub struct Stage {
+pub struct Environment {
     /// The router, or the laboratory's build of it, which takes clocks that are off.
     pub router: PathBuf,
     pub lab: PathBuf,
@@ -24,12 +24,12 @@
 }
 
 /// What came of a play.
-pub struct Played {
+pub struct RunOutcome {
     pub verdict: Verdict,
     pub record: Record,
     pub plan: Plan,
     /// Processor time of each router over the play, in ms; of its last life.
-    pub used_ms: Vec<f64>,
+    pub processor_ms: Vec<f64>,
     /// Routers that ended by themselves, and how.
     pub crashed: Vec<String>,
     pub epoch: Epoch,
@@ -51,7 +51,7 @@
 }
 
 /// Starts everything, waits for the end, and judges. Errors are of the laboratory, never of a router.
-pub fn play(script: Script, stage: &Stage) -> Result<Played, String> {
+pub fn run(script: Script, stage: &Environment) -> Result<RunOutcome, String> {
     std::fs::create_dir_all(&stage.folder).map_err(|e| format!("{}: {e}", stage.folder.display()))?;
     let text = toml::to_string(&script).map_err(|e| e.to_string())?;
     let file = stage.folder.join("script.toml");
@@ -62,13 +62,17 @@
     }
     let plan = Plan::new(script);
     let s = &plan.script;
-    let epoch = Epoch::start(START_MS + START_EACH_MS * s.routers as f64);
+    let epoch = Epoch::starting_in(START_MS + START_EACH_MS * s.routers as f64);
     let mut parts = Vec::new();
     for part in 0..s.parts() {
         let to = stage.folder.join(format!("hosts-{part}.bin"));
         let mut command = Command::new(&stage.lab);
         command.arg("hosts").arg("--script").arg(&file).arg("--part").arg(part.to_string());
-        command.arg("--mono").arg(epoch.mono.to_string()).arg("--unix").arg(epoch.unix.to_string());
+        command
+            .arg("--mono")
+            .arg(epoch.monotonic_ms.to_string())
+            .arg("--unix")
+            .arg(epoch.unix_ms.to_string());
         command.arg("--record").arg(&to).stdin(Stdio::null());
         let child = command.spawn().map_err(|e| format!("{}: {e}", stage.lab.display()))?;
         parts.push((Ended(child), to));
@@ -89,7 +93,7 @@
         all.extend(join(crowd, "clients")?);
         Ok::<Record, String>(all)
     })?;
-    let used_ms = routers.used();
+    let processor_ms = routers.used();
     routers.end();
     for (mut part, file) in parts {
         part.0.wait().map_err(|e| e.to_string())?;
@@ -99,7 +103,7 @@
     let verdict = judge::judge(&plan, &record, SLACK);
     let crashed = std::mem::take(&mut routers.crashed);
     drop(routers);
-    Ok(Played { verdict, record, plan, used_ms, crashed, epoch })
+    Ok(RunOutcome { verdict, record, plan, processor_ms, crashed, epoch })
 }
 
 /// A process that is ended with its owner.
@@ -125,7 +129,7 @@
 
 struct Routers<'a> {
     plan: &'a Plan,
-    stage: &'a Stage,
+    stage: &'a Environment,
     epoch: Epoch,
     processes: HashMap<usize, Process>,
     crashed: Vec<String>,
@@ -357,14 +361,14 @@
 }
 
 /// Where a play's files are, by default.
-pub fn folder(name: &str) -> PathBuf {
+pub fn default_folder(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("magpiewell-tier-{name}-{}", std::process::id()))
 }
 
 /// The process of one part of the hosts.
-pub fn hosts(script: &Path, part: usize, epoch: Epoch, to: &Path) -> Result<(), String> {
+pub fn run_hosts(script: &Path, part: usize, epoch: Epoch, to: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(script).map_err(|e| format!("{}: {e}", script.display()))?;
-    let plan = Plan::new(Script::read(&text)?);
+    let plan = Plan::new(Script::from_toml(&text)?);
     let record = super::hosts::run(&plan, part, epoch)?;
     record::write(&record, to)
 }
--- a/crates/lab/src/tier/script.rs
+++ b/crates/lab/src/tier/script.rs
@@ -269,7 +269,7 @@
 
 impl Script {
     /// From TOML; an error names the key.
-    pub fn read(text: &str) -> Result<Script, String> {
+    pub fn from_toml(text: &str) -> Result<Script, String> {
         let script: Script = toml::from_str(text).map_err(|e| e.to_string())?;
         script.check().map(|()| script)
     }
@@ -305,7 +305,7 @@
     }
 
     /// Chance of its own for each use, the same in all processes.
-    pub fn chance(&self, salt: u64) -> ChaCha8Rng {
+    pub fn rng(&self, salt: u64) -> ChaCha8Rng {
         ChaCha8Rng::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(salt))
     }
 
@@ -341,8 +341,8 @@
         if host % self.hosts < self.groups {
             return self.host.largest;
         }
-        let mut chance = self.chance(1_000 + (host % self.hosts) as u64);
-        (1.0 + draw(&mut chance) * (self.host.largest - 1.0)).round()
+        let mut chance = self.rng(1_000 + (host % self.hosts) as u64);
+        (1.0 + random_unit(&mut chance) * (self.host.largest - 1.0)).round()
     }
 
     /// Replaced hosts go by the number of the one before them plus the number of hosts.
@@ -359,7 +359,7 @@
             Who::Some(some) => (0..of).filter(|n| some.contains(n)).collect(),
             Who::Zone(zone) => (0..of).filter(|n| zones(*n) == *zone).collect(),
             Who::Part(part) => {
-                let mut chance = self.chance(5_000 + fault as u64);
+                let mut chance = self.rng(5_000 + fault as u64);
                 let mut order: Vec<(u64, usize)> = (0..of).map(|n| (chance.next_u64(), n)).collect();
                 order.sort_unstable();
                 let count = (of as f64 * part.clamp(0.0, 1.0)).round() as usize;
@@ -439,6 +439,6 @@
 }
 
 /// Chance in [0, 1).
-pub fn draw(chance: &mut ChaCha8Rng) -> f64 {
+pub fn random_unit(chance: &mut ChaCha8Rng) -> f64 {
     f64::from(chance.next_u32()) / 4_294_967_296.0
 }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -6,7 +6,7 @@
 use magpiewell_lab::scale::play::{Play, Stage};
 use magpiewell_lab::scale::prove::{CLOCK_AHEAD_MS, TEMPLATE, TEMPLATE_WITHOUT_ZONES};
 use magpiewell_lab::scale::recorder::View;
-use magpiewell_lab::tier::play::folder;
+use magpiewell_lab::tier::runner::default_folder;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     Stage {
         router: PathBuf::from(env!("CARGO_BIN_EXE_magpiewell-staged")),
         lab: PathBuf::from(env!("CARGO_BIN_EXE_magpiewell-lab")),
-        folder: folder(name),
+        folder: default_folder(name),
     }
 }
 
--- a/crates/lab/tests/tier.rs
+++ b/crates/lab/tests/tier.rs
@@ -1,8 +1,8 @@
 //! Several router processes before stand-in hosts, with every fault of links, processes and clocks between them. What must
 //! never be: a broken rule, a crash. What must at last be so: once the faults are over, every op is served.
 
-use magpiewell_lab::tier::play::{self, Played, Stage};
 use magpiewell_lab::tier::record::{How, Seen};
+use magpiewell_lab::tier::runner::{self, Environment, RunOutcome};
 use magpiewell_lab::tier::script::Script;
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -11,22 +11,22 @@
 const CLOCK_OFF: u32 = 3;
 
 /// Plays a script at ports of its own; `name` keeps its files apart.
-fn play(text: &str, name: &str, port: u16) -> Played {
-    let mut script = Script::read(text).unwrap();
+fn play(text: &str, name: &str, port: u16) -> RunOutcome {
+    let mut script = Script::from_toml(text).unwrap();
     script.port = port;
-    let folder = play::folder(name);
-    let stage = Stage {
+    let folder = runner::default_folder(name);
+    let stage = Environment {
         router: PathBuf::from(env!("CARGO_BIN_EXE_magpiewell-staged")),
         lab: PathBuf::from(env!("CARGO_BIN_EXE_magpiewell-lab")),
         folder: folder.clone(),
     };
-    let played = play::play(script, &stage).unwrap();
+    let played = runner::run(script, &stage).unwrap();
     std::fs::remove_dir_all(folder).unwrap();
     played
 }
 
 /// How many ops were asked from then on, and what was seen of those that were not acked.
-fn not_acked(played: &Played, from: f64) -> (usize, Vec<Vec<Seen>>) {
+fn not_acked(played: &RunOutcome, from: f64) -> (usize, Vec<Vec<Seen>>) {
     let mut asked: HashMap<u64, Vec<Seen>> = HashMap::new();
     for (at, seen) in &played.record {
         match seen {
