--- a/crates/lab/src/tier/hosts.rs
+++ b/crates/lab/src/tier/hosts.rs
@@ -1,11 +1,12 @@
-//! The process of stand-in hosts: one loop holds many, each reached by every router at an address of their own, so that
-//! the link's faults are done here: what a stalled link holds back is not read, or not written.
+//! The process of simulated hosts: one event loop runs many of them. Every router reaches every host at an
+//! address of their own, so that link faults are injected here: bytes on a stalled link are not read, or not
+//! written.
 
-use super::machine::{Machine, Took};
+use super::host_model::{Admission, HostModel};
 use super::net::{self, BufferedStream, Epoch};
-use super::plan::{Listed, Plan};
-use super::record::{Kind, Record, Seen, WINDOW_MS};
-use super::script::{A_PROCESS, ends};
+use super::plan::{ListState, Plan};
+use super::record::{Kind, Record, Seen, TOKEN_WINDOW_MS};
+use super::script::{HOSTS_PER_PROCESS, decode_pair};
 use magpiewell_pg::{encode, frame, statement};
 use mio::{Events, Interest, Poll, Token};
 use std::cmp::Reverse;
@@ -13,70 +14,73 @@
 use std::time::Duration;
 
 const LISTENER: Token = Token(0);
-/// How often links are looked at for what has ended; also the longest sleep.
-const BEAT_MS: f64 = 5.0;
+/// Interval at which faults that have begun or ended are applied; also the longest sleep.
+const TICK_MS: f64 = 5.0;
 
-struct Conn {
-    wire: BufferedStream,
+/// A connection of a router to a host.
+struct HostConnection {
+    stream: BufferedStream,
     router: usize,
     host: usize,
     opened: bool,
-    /// Bytes may wait in the kernel because the link is stalled.
-    waits: bool,
-    /// Answers that a delayed or mute link holds: when they may go.
+    /// The link was stalled at last use, so bytes may be held back in the kernel or in `outgoing`.
+    is_stalled: bool,
+    /// Replies that a delayed link holds, each with the time at which it may be sent.
     held: Vec<(f64, Vec<u8>)>,
 }
 
-/// What is due at a time.
+/// Work that is due at a time.
 enum Due {
-    /// The statement begins, or ends, to run.
-    Ends { conn: usize, op: u64, kind: Kind, token: u64, begins: f64 },
+    /// The statement finishes. It started to run at `starts_at`.
+    Finish { conn: usize, op: u64, kind: Kind, token: u64, starts_at: f64 },
 }
 
-pub struct Hosts<'a> {
+/// The event loop of one host process.
+pub struct HostLoop<'a> {
     plan: &'a Plan,
     epoch: Epoch,
     first: usize,
-    machines: Vec<Machine>,
+    models: Vec<HostModel>,
     was_down: Vec<bool>,
-    open: Vec<usize>,
-    conns: HashMap<usize, Conn>,
-    next: usize,
-    /// Due times in microseconds, so that they have an order.
+    open_connections: Vec<usize>,
+    connections: HashMap<usize, HostConnection>,
+    next_connection: usize,
+    /// Due times in microseconds, so that they are ordered, and the keys of `due`.
     order: BinaryHeap<Reverse<(u64, u64)>>,
     due: HashMap<u64, Due>,
     next_due: u64,
-    /// Tokens that a group's hosts have seen, and when; and each group's last commit.
+    /// When the hosts of a group saw a token, by group and token.
     tokens: HashMap<(usize, u64), f64>,
+    /// Position of each group's last commit.
     commits: HashMap<usize, f64>,
     record: Record,
     poll: Poll,
 }
 
-/// Runs one part of a play's hosts until the play is over, and gives what they saw. `free` of hosts: those whose number
-/// divided by [`A_PROCESS`] is the part.
+/// Simulates the hosts of one process until the run ends, and returns the recorded events. The hosts are
+/// those whose number divided by [`HOSTS_PER_PROCESS`] is `part`.
 pub fn run(plan: &Plan, part: usize, epoch: Epoch) -> Result<Record, String> {
-    let first = part * A_PROCESS;
-    let last = plan.script.all_hosts().min(first + A_PROCESS);
+    let first = part * HOSTS_PER_PROCESS;
+    let last = plan.script.hosts_with_replacements().min(first + HOSTS_PER_PROCESS);
     let poll = Poll::new().map_err(|e| e.to_string())?;
-    let mut listener = net::listen(plan.script.hosts_port(part))?;
+    let mut listener = net::listen(plan.script.host_port(part))?;
     poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(|e| e.to_string())?;
-    let machine = |host: usize| {
-        let started = plan.changes.iter().find(|c| c.host == host && c.listed == Listed::Ready);
-        let chance = plan.script.rng(10_000 + host as u64);
-        Machine::new(&plan.script.host, plan.script.size(host), started.and_then(|c| c.started), chance)
+    let model = |host: usize| {
+        let started = plan.changes.iter().find(|c| c.host == host && c.state == ListState::Ready);
+        let rng = plan.script.rng(10_000 + host as u64);
+        HostModel::new(&plan.script.host, plan.script.size(host), started.and_then(|c| c.started), rng)
     };
-    let machines: Vec<Machine> = (first..last).map(machine).collect();
-    let (was_down, open) = (vec![false; machines.len()], vec![0; machines.len()]);
-    let mut hosts = Hosts {
+    let models: Vec<HostModel> = (first..last).map(model).collect();
+    let (was_down, open_connections) = (vec![false; models.len()], vec![0; models.len()]);
+    let mut host_loop = HostLoop {
         plan,
         epoch,
         first,
-        machines,
+        models,
         was_down,
-        open,
-        conns: HashMap::new(),
-        next: 1,
+        open_connections,
+        connections: HashMap::new(),
+        next_connection: 1,
         order: BinaryHeap::new(),
         due: HashMap::new(),
         next_due: 0,
@@ -85,21 +89,21 @@
         record: Vec::new(),
         poll,
     };
-    hosts.go(&listener)?;
-    Ok(hosts.record)
+    host_loop.run(&listener)?;
+    Ok(host_loop.record)
 }
 
-impl Hosts<'_> {
-    fn go(&mut self, listener: &mio::net::TcpListener) -> Result<(), String> {
+impl HostLoop<'_> {
+    fn run(&mut self, listener: &mio::net::TcpListener) -> Result<(), String> {
         let mut events = Events::with_capacity(1_024);
-        let mut beat_at = 0.0;
+        let mut tick_at = 0.0;
         loop {
             let now = self.epoch.now();
             if now >= self.plan.ends_at() {
                 return Ok(());
             }
-            let due = self.order.peek().map_or(BEAT_MS, |Reverse((at, _))| *at as f64 / 1e3 - now);
-            let wait = Duration::from_secs_f64(due.clamp(0.0, BEAT_MS) / 1e3);
+            let due = self.order.peek().map_or(TICK_MS, |Reverse((at, _))| *at as f64 / 1e3 - now);
+            let wait = Duration::from_secs_f64(due.clamp(0.0, TICK_MS) / 1e3);
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(e) if e.kind() != std::io::ErrorKind::Interrupted => return Err(e.to_string()),
                 _ => {}
@@ -108,7 +112,7 @@
                 if event.token() == LISTENER {
                     self.accept(listener);
                 } else {
-                    self.look(event.token().0);
+                    self.on_ready(event.token().0);
                 }
             }
             let now = self.epoch.now();
@@ -118,162 +122,165 @@
                 }
                 self.order.pop();
                 if let Some(due) = self.due.remove(&no) {
-                    self.end(now, due);
+                    self.finish(now, due);
                 }
             }
-            if now >= beat_at {
-                beat_at = now + BEAT_MS;
-                self.beat(now);
+            if now >= tick_at {
+                tick_at = now + TICK_MS;
+                self.tick(now);
             }
         }
     }
 
     fn accept(&mut self, listener: &mio::net::TcpListener) {
-        while let Ok((stream, _)) = listener.accept() {
-            let mut wire = BufferedStream::new(stream);
-            let Some((router, low)) = wire.local_addr().map(|at| ends(at.ip())) else { continue };
-            // The fourth byte is the host's number up to 255; the port tells which process, so which of them.
-            let host = (self.first..self.first + self.machines.len()).find(|h| h % 256 == low);
+        while let Ok((accepted, _)) = listener.accept() {
+            let mut stream = BufferedStream::new(accepted);
+            let Some((router, low)) = stream.local_addr().map(|at| decode_pair(at.ip())) else { continue };
+            // The fourth byte of the address is the host's number modulo 256, unique within a process.
+            let host = (self.first..self.first + self.models.len()).find(|h| h % 256 == low);
             let Some(host) = host.filter(|_| router < self.plan.script.routers) else { continue };
             let (now, at) = (self.epoch.now(), host - self.first);
-            let reset = self.plan.way(router, host, now).reset;
-            if reset || self.down(host, now) || self.plan.listed(host, now).is_none() {
-                wire.reset();
+            let reset = self.plan.link(router, host, now).reset;
+            if reset || self.is_down(host, now) || self.plan.list_state(host, now).is_none() {
+                stream.reset();
                 continue;
             }
-            let no = self.next;
-            self.next += 1;
-            if wire.register(self.poll.registry(), Token(no)).is_err() {
+            let no = self.next_connection;
+            self.next_connection += 1;
+            if stream.register(self.poll.registry(), Token(no)).is_err() {
                 continue;
             }
-            self.open[at] += 1;
-            let (opened, waits, held) = (false, false, Vec::new());
-            self.conns.insert(no, Conn { wire, router, host, opened, waits, held });
+            self.open_connections[at] += 1;
+            let (opened, is_stalled, held) = (false, false, Vec::new());
+            self.connections.insert(no, HostConnection { stream, router, host, opened, is_stalled, held });
         }
     }
 
-    fn down(&self, host: usize, now: f64) -> bool {
-        self.machines[host - self.first].is_down(now) || self.plan.down(host, now)
+    fn is_down(&self, host: usize, now: f64) -> bool {
+        self.models[host - self.first].is_down(now) || self.plan.is_down(host, now)
     }
 
-    /// Reads and writes what the link lets through.
-    fn look(&mut self, no: usize) {
+    /// Reads, processes and writes what the link lets through.
+    fn on_ready(&mut self, no: usize) {
         let now = self.epoch.now();
-        let Some(conn) = self.conns.get_mut(&no) else { return };
-        let way = self.plan.way(conn.router, conn.host, now);
-        conn.waits = way.stalled;
-        if !way.stalled {
-            conn.wire.read();
-            if !way.mute {
-                conn.wire.write();
+        let Some(conn) = self.connections.get_mut(&no) else { return };
+        let link = self.plan.link(conn.router, conn.host, now);
+        conn.is_stalled = link.stalled;
+        if !link.stalled {
+            conn.stream.read();
+            if !link.replies_stalled {
+                conn.stream.write();
             }
         }
-        if conn.wire.closed || way.reset {
-            return self.close(no, way.reset);
+        if conn.stream.closed || link.reset {
+            return self.close(no, link.reset);
         }
-        while let Some(conn) = self.conns.get_mut(&no) {
-            let Ok(message) = next(&mut conn.wire.received, &mut conn.opened) else {
+        while let Some(conn) = self.connections.get_mut(&no) {
+            let Ok(message) = next_message(&mut conn.stream.received, &mut conn.opened) else {
                 return self.close(no, false);
             };
             match message {
                 None => return,
-                Some(Message::Startup) => self.admit(no, now),
+                Some(Message::Startup) => self.accept_startup(no, now),
                 Some(Message::Query(text)) => self.query(no, now, &text),
                 Some(Message::Other) => return self.close(no, false),
             }
         }
     }
 
-    fn admit(&mut self, no: usize, now: f64) {
-        let Some(conn) = self.conns.get(&no) else { return };
+    /// Answers a startup message, or refuses it beyond the connection limit of the host.
+    fn accept_startup(&mut self, no: usize, now: f64) {
+        let Some(conn) = self.connections.get(&no) else { return };
         let at = conn.host - self.first;
-        let mut says = Vec::new();
-        if self.open[at] > self.plan.script.host.connections {
-            encode::error_response(&mut says, true, "53300", "too many connections", "");
+        let mut reply = Vec::new();
+        if self.open_connections[at] > self.plan.script.host.connections {
+            encode::error_response(&mut reply, true, "53300", "too many connections", "");
         } else {
-            self.machines[at].dialled(now);
-            encode::startup_reply(&mut says);
+            self.models[at].connection_opened(now);
+            encode::startup_reply(&mut reply);
         }
-        self.say(no, now, says);
+        self.send(no, now, reply);
     }
 
+    /// Answers a probe at once; rejects an op or hands it to the host model.
     fn query(&mut self, no: usize, now: f64, text: &str) {
-        let Some(conn) = self.conns.get(&no) else { return };
+        let Some(conn) = self.connections.get(&no) else { return };
         let (host, router) = (conn.host, conn.router);
         if text.is_empty() {
-            let mut says = Vec::new();
-            encode::empty_query_response(&mut says);
-            says.extend_from_slice(&encode::READY_FOR_QUERY);
-            return self.say(no, now, says);
+            let mut reply = Vec::new();
+            encode::empty_query_response(&mut reply);
+            reply.extend_from_slice(&encode::READY_FOR_QUERY);
+            return self.send(no, now, reply);
         }
         let Some(op) = Statement::read(text) else {
-            // A probe, of either kind.
-            let pos = self.tells(host, now).1;
-            let says = self.answer(host, now, pos, b"1", "SHOW");
-            return self.say(no, now, says);
+            // A statement without op attributes is a probe.
+            let pos = self.role_and_position(host, now).1;
+            let reply = self.result_reply(host, now, pos, b"1", "SHOW");
+            return self.send(no, now, reply);
         };
         self.record.push((now, Seen::Got { op: op.id, host: host as u32, router: router as u32 }));
         let group = self.plan.script.group_of(host);
-        let leads = self.plan.primary(group, now) == Some(host);
-        let drains = self.plan.listed(host, now) != Some(Listed::Ready);
-        if op.kind.writes() && !leads {
-            return self.turn(no, now, op.id, "25006");
+        let is_primary = self.plan.primary(group, now) == Some(host);
+        let is_draining = self.plan.list_state(host, now) != Some(ListState::Ready);
+        if op.kind.is_write() && !is_primary {
+            return self.reject(no, now, op.id, "25006");
         }
         if !self.plan.script.unchecked
             && op.kind == Kind::Bounded
-            && self.lag(host, now) > super::record::BOUND_MS
+            && self.lag(host, now) > super::record::STALENESS_BOUND_MS
         {
-            return self.turn(no, now, op.id, "72000");
+            return self.reject(no, now, op.id, "72000");
         }
-        if drains && self.plan.listed(host, now) == Some(Listed::Gone) {
-            return self.turn(no, now, op.id, "53300");
+        if is_draining && self.plan.list_state(host, now) == Some(ListState::Gone) {
+            return self.reject(no, now, op.id, "53300");
         }
-        let times = self.plan.ails(host, now).0;
-        match self.machines[host - self.first].take(now, op.kind.writes(), times) {
-            Took::Full => self.turn(no, now, op.id, "53300"),
-            Took::Falls => {
+        let work_factor = self.plan.slowdown_and_lag(host, now).0;
+        match self.models[host - self.first].submit(now, op.kind.is_write(), work_factor) {
+            Admission::QueueFull => self.reject(no, now, op.id, "53300"),
+            Admission::Overloaded => {
                 self.record.push((now, Seen::Fell { host: host as u32 }));
-                self.drop_all(host);
+                self.reset_all(host);
             }
-            Took::Runs { begins, ends } => {
-                let due = Due::Ends { conn: no, op: op.id, kind: op.kind, token: op.token, begins };
+            Admission::Accepted { starts_at, ends_at } => {
+                let due = Due::Finish { conn: no, op: op.id, kind: op.kind, token: op.token, starts_at };
                 self.next_due += 1;
                 self.due.insert(self.next_due, due);
-                self.order.push(Reverse(((ends * 1e3) as u64, self.next_due)));
+                self.order.push(Reverse(((ends_at * 1e3) as u64, self.next_due)));
             }
         }
     }
 
-    fn turn(&mut self, no: usize, now: f64, op: u64, code: &str) {
-        let Some(conn) = self.conns.get(&no) else { return };
+    /// Answers an op with an error, without running it.
+    fn reject(&mut self, no: usize, now: f64, op: u64, code: &str) {
+        let Some(conn) = self.connections.get(&no) else { return };
         self.record.push((now, Seen::Turned { op, host: conn.host as u32 }));
-        let mut says = Vec::new();
-        encode::error_response(&mut says, false, code, "turned away", "");
-        let (role, pos) = self.tells(conn.host, now);
-        says.extend(parameter("server_role", role));
-        says.extend(parameter("commit_clock", &format!("{:.3}", pos + self.epoch.unix_ms)));
-        says.extend_from_slice(&encode::READY_FOR_QUERY);
-        self.say(no, now, says);
+        let mut reply = Vec::new();
+        encode::error_response(&mut reply, false, code, "turned away", "");
+        let (role, pos) = self.role_and_position(conn.host, now);
+        reply.extend(parameter("server_role", role));
+        reply.extend(parameter("commit_clock", &format!("{:.3}", pos + self.epoch.unix_ms)));
+        reply.extend_from_slice(&encode::READY_FOR_QUERY);
+        self.send(no, now, reply);
     }
 
-    /// A statement has run, if its connection still stood when it began.
-    fn end(&mut self, now: f64, due: Due) {
-        let Due::Ends { conn: no, op, kind, token, begins } = due;
-        let Some(conn) = self.conns.get(&no) else { return };
+    /// Completes a statement, unless its connection has closed or its host is down.
+    fn finish(&mut self, now: f64, due: Due) {
+        let Due::Finish { conn: no, op, kind, token, starts_at } = due;
+        let Some(conn) = self.connections.get(&no) else { return };
         let (host, group) = (conn.host, self.plan.script.group_of(conn.host));
-        if self.down(host, now) || begins > now {
+        if self.is_down(host, now) || starts_at > now {
             return;
         }
         let (mut pos, mut again) = (now - self.lag(host, now), false);
-        if kind.writes() {
+        if kind.is_write() {
             if self.plan.primary(group, now) != Some(host) {
-                // It lost its role with the write in hand: no effect, and nobody can tell.
-                let mut says = Vec::new();
-                encode::error_response(&mut says, false, "XX000", "no longer the primary", "");
-                says.extend_from_slice(&encode::READY_FOR_QUERY);
-                return self.say(no, now, says);
+                // The host lost its role while it ran the write: no effect, and the client cannot know that.
+                let mut reply = Vec::new();
+                encode::error_response(&mut reply, false, "XX000", "no longer the primary", "");
+                reply.extend_from_slice(&encode::READY_FOR_QUERY);
+                return self.send(no, now, reply);
             }
-            let seen = self.tokens.get(&(group, token)).filter(|at| now - **at < WINDOW_MS).copied();
+            let seen = self.tokens.get(&(group, token)).filter(|at| now - **at < TOKEN_WINDOW_MS).copied();
             again = kind == Kind::Tokened && seen.is_some();
             let last = self.commits.entry(group).or_insert(f64::NEG_INFINITY);
             pos = if again { seen.unwrap_or(now) } else { now.max(*last + 0.001) };
@@ -284,129 +291,136 @@
         }
         self.record.push((now, Seen::Ran { op, host: host as u32, pos, again }));
         let value = format!("\\x{op:016x}@{pos:.3}");
-        let tag = if kind.writes() { "INSERT 0 1" } else { "SELECT 1" };
-        let says = self.answer(host, now, pos, value.as_bytes(), tag);
-        self.say(no, now, says);
+        let tag = if kind.is_write() { "INSERT 0 1" } else { "SELECT 1" };
+        let reply = self.result_reply(host, now, pos, value.as_bytes(), tag);
+        self.send(no, now, reply);
     }
 
-    /// How far a host is behind its group's log: its primary not at all.
+    /// How far a host is behind its group's log in ms: 0 for the primary.
     fn lag(&self, host: usize, now: f64) -> f64 {
         let group = self.plan.script.group_of(host);
         match self.plan.primary(group, now) == Some(host) {
             true => 0.0,
-            false => self.plan.script.host.lag_ms + self.plan.ails(host, now).1,
+            false => self.plan.script.host.lag_ms + self.plan.slowdown_and_lag(host, now).1,
         }
     }
 
-    fn tells(&self, host: usize, now: f64) -> (&'static str, f64) {
+    /// The role of a host and its log position.
+    fn role_and_position(&self, host: usize, now: f64) -> (&'static str, f64) {
         let group = self.plan.script.group_of(host);
-        let leads = self.plan.primary(group, now) == Some(host);
-        (if leads { "writer" } else { "reader" }, now - self.lag(host, now))
+        let is_primary = self.plan.primary(group, now) == Some(host);
+        (if is_primary { "writer" } else { "reader" }, now - self.lag(host, now))
     }
 
-    fn answer(&self, host: usize, now: f64, pos: f64, value: &[u8], tag: &str) -> Vec<u8> {
-        let role = self.tells(host, now).0;
-        let told = if self.plan.boasts(host, now) { now } else { pos };
-        let described = [&1u16.to_be_bytes()[..], b"v\0", &[0; 18]].concat();
+    /// A reply with one row, and the role and the commit clock that the host reports.
+    fn result_reply(&self, host: usize, now: f64, pos: f64, value: &[u8], tag: &str) -> Vec<u8> {
+        let role = self.role_and_position(host, now).0;
+        let reported = if self.plan.claims_current(host, now) { now } else { pos };
+        let description = [&1u16.to_be_bytes()[..], b"v\0", &[0; 18]].concat();
         let data = [&1u16.to_be_bytes()[..], &(value.len() as u32).to_be_bytes(), value].concat();
         [
-            message(b'T', &described),
+            message(b'T', &description),
             message(b'D', &data),
             message(b'C', format!("{tag}\0").as_bytes()),
             parameter("server_role", role),
-            parameter("commit_clock", &format!("{:.3}", told + self.epoch.unix_ms)),
+            parameter("commit_clock", &format!("{:.3}", reported + self.epoch.unix_ms)),
             encode::READY_FOR_QUERY.to_vec(),
         ]
         .concat()
     }
 
-    fn say(&mut self, no: usize, now: f64, says: Vec<u8>) {
-        let Some(conn) = self.conns.get_mut(&no) else { return };
-        let way = self.plan.way(conn.router, conn.host, now);
-        if way.delay > 0.0 || !conn.held.is_empty() {
-            conn.held.push((now + way.delay, says));
+    /// Sends a reply, or holds it back as the faults of the link require.
+    fn send(&mut self, no: usize, now: f64, reply: Vec<u8>) {
+        let Some(conn) = self.connections.get_mut(&no) else { return };
+        let link = self.plan.link(conn.router, conn.host, now);
+        if link.delay_ms > 0.0 || !conn.held.is_empty() {
+            conn.held.push((now + link.delay_ms, reply));
             return;
         }
-        conn.wire.outgoing.extend(says);
-        if !way.stalled && !way.mute {
-            conn.wire.write();
+        conn.stream.outgoing.extend(reply);
+        if !link.stalled && !link.replies_stalled {
+            conn.stream.write();
         } else {
-            conn.waits = true;
+            conn.is_stalled = true;
         }
     }
 
     fn close(&mut self, no: usize, reset: bool) {
-        if let Some(conn) = self.conns.remove(&no) {
-            self.open[conn.host - self.first] -= 1;
+        if let Some(conn) = self.connections.remove(&no) {
+            self.open_connections[conn.host - self.first] -= 1;
             if reset {
-                conn.wire.reset();
+                conn.stream.reset();
             }
         }
     }
 
-    fn drop_all(&mut self, host: usize) {
-        let all: Vec<usize> = self.conns.iter().filter(|(_, c)| c.host == host).map(|(no, _)| *no).collect();
+    /// Resets all connections to a host.
+    fn reset_all(&mut self, host: usize) {
+        let all: Vec<usize> =
+            self.connections.iter().filter(|(_, c)| c.host == host).map(|(no, _)| *no).collect();
         all.into_iter().for_each(|no| self.close(no, true));
     }
 
-    /// Crashes, and links whose fault has begun or ended.
-    fn beat(&mut self, now: f64) {
-        for host in self.first..self.first + self.machines.len() {
+    /// Applies crashes and link faults that have begun or ended, and sends the delayed replies that are due.
+    fn tick(&mut self, now: f64) {
+        for host in self.first..self.first + self.models.len() {
             let at = host - self.first;
-            let down = self.plan.down(host, now);
-            let gone = self.plan.listed(host, now) == Some(Listed::Gone);
+            let down = self.plan.is_down(host, now);
+            let gone = self.plan.list_state(host, now) == Some(ListState::Gone);
             if down && !self.was_down[at] {
-                let fault = self.plan.faults(now).find_map(|(no, _)| {
+                let fault = self.plan.active_faults(now).find_map(|(no, _)| {
                     let f = &self.plan.script.faults[no];
                     matches!(f.what, super::script::What::Crash { .. }).then_some(f.at_ms + f.for_ms)
                 });
-                self.machines[at].crash(fault.unwrap_or(now));
+                self.models[at].crash(fault.unwrap_or(now));
             }
             if (down || gone) && !self.was_down[at] {
-                self.drop_all(host);
+                self.reset_all(host);
             }
             self.was_down[at] = down || gone;
         }
-        if self.plan.turns(now - 2.0 * BEAT_MS, now) {
-            let all: Vec<usize> = self.conns.keys().copied().collect();
-            all.into_iter().for_each(|no| self.look(no));
+        if self.plan.has_link_change(now - 2.0 * TICK_MS, now) {
+            let all: Vec<usize> = self.connections.keys().copied().collect();
+            all.into_iter().for_each(|no| self.on_ready(no));
         }
-        for conn in self.conns.values_mut().filter(|c| !c.held.is_empty()) {
-            let way = self.plan.way(conn.router, conn.host, now);
-            let free = conn.held.iter().take_while(|(at, _)| *at <= now).count();
-            for (_, says) in conn.held.drain(..free) {
-                conn.wire.outgoing.extend(says);
+        for conn in self.connections.values_mut().filter(|c| !c.held.is_empty()) {
+            let link = self.plan.link(conn.router, conn.host, now);
+            let due = conn.held.iter().take_while(|(at, _)| *at <= now).count();
+            for (_, reply) in conn.held.drain(..due) {
+                conn.stream.outgoing.extend(reply);
             }
-            if !way.stalled && !way.mute {
-                conn.wire.write();
+            if !link.stalled && !link.replies_stalled {
+                conn.stream.write();
             }
         }
     }
 }
 
+/// A message of a router to a host.
 enum Message {
     Startup,
     Query(String),
     Other,
 }
 
-fn next(came: &mut Vec<u8>, opened: &mut bool) -> Result<Option<Message>, ()> {
+/// Takes the next complete message from the received bytes.
+fn next_message(received: &mut Vec<u8>, opened: &mut bool) -> Result<Option<Message>, ()> {
     if !*opened {
-        let Some((_, body)) = frame::startup(came, 10_000).map_err(drop)? else { return Ok(None) };
-        came.drain(..body.end);
+        let Some((_, body)) = frame::startup(received, 10_000).map_err(drop)? else { return Ok(None) };
+        received.drain(..body.end);
         *opened = true;
         return Ok(Some(Message::Startup));
     }
-    let Some((kind, body)) = frame::message(came, 1 << 20).map_err(drop)? else { return Ok(None) };
-    let text = came[body.start..body.end.saturating_sub(1).max(body.start)].to_vec();
-    came.drain(..body.end);
+    let Some((kind, body)) = frame::message(received, 1 << 20).map_err(drop)? else { return Ok(None) };
+    let text = received[body.start..body.end.saturating_sub(1).max(body.start)].to_vec();
+    received.drain(..body.end);
     if kind != b'Q' {
         return Ok(Some(Message::Other));
     }
     Ok(Some(Message::Query(String::from_utf8(text).map_err(drop)?)))
 }
 
-/// What a host reads from a statement of a client's.
+/// The attributes of a client's statement that a host needs.
 struct Statement {
     id: u64,
     kind: Kind,
@@ -421,7 +435,7 @@
             let value = &text[at];
             match name {
                 "id" => id = u64::from_str_radix(value, 16).ok(),
-                "c" => kind = Kind::named(value),
+                "c" => kind = Kind::from_name(value),
                 "k" => token = u64::from_str_radix(value, 16).ok()?,
                 _ => {}
             }
--- a/crates/lab/src/tier/mod.rs
+++ b/crates/lab/src/tier/mod.rs
@@ -1,15 +1,15 @@
-//! A tier on loopback: real router processes, stand-in hosts, a list and clients, with faults on every link and process by
-//! a script with a seed, and an outside judge of what came of it.
+//! Runs a tier on loopback: real router processes, simulated hosts, a host list service and clients. A seeded
+//! script injects faults into every link and process, and a judge outside the routers checks the recorded
+//! events.
 
 pub mod clients;
+pub mod host_model;
 pub mod hosts;
 pub mod judge;
 pub mod list;
-pub mod machine;
 pub mod net;
 pub mod peers;
 pub mod plan;
-
 pub mod record;
 pub mod report;
 pub mod runner;
--- a/crates/lab/src/tier/net.rs
+++ b/crates/lab/src/tier/net.rs
@@ -1,5 +1,6 @@
-//! Sockets of the laboratory: wildcard listeners bound to the loopback interface, so that one serves every address of a
-//! play, and connections that never wait. What a link's fault holds back stays in the kernel or in `out`.
+//! Sockets of the laboratory: wildcard listeners bound to the loopback interface, so that one listener serves
+//! every address of a run, and non-blocking connections. Bytes that a link fault holds back stay in the
+//! kernel or in [`BufferedStream::outgoing`].
 
 use mio::event::Source;
 use mio::net::{TcpListener, TcpStream, UdpSocket};
@@ -9,13 +10,13 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-/// Time that all processes of a play agree on, in ms: the machine's monotonic clock.
+/// Time on the machine's monotonic clock in ms; all processes of a run share it.
 pub fn monotonic_now_ms() -> f64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as f64 * 1e3 + now.tv_nsec as f64 / 1e6
 }
 
-/// When a play began, on the monotonic clock and as Unix ms.
+/// The start of a run, on the monotonic clock and as Unix time, both in ms.
 #[derive(Clone, Copy, Debug)]
 pub struct Epoch {
     pub monotonic_ms: f64,
@@ -23,13 +24,13 @@
 }
 
 impl Epoch {
-    /// Begins in so many ms.
+    /// A run that starts in `in_ms` ms.
     pub fn starting_in(in_ms: f64) -> Epoch {
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         Epoch { monotonic_ms: monotonic_now_ms() + in_ms, unix_ms: unix.as_secs_f64() * 1e3 + in_ms }
     }
 
-    /// Ms since the play's start.
+    /// Ms since the start of the run; negative before it.
     pub fn now(&self) -> f64 {
         monotonic_now_ms() - self.monotonic_ms
     }
@@ -37,7 +38,7 @@
 
 fn on_loopback(kind: Type, protocol: Protocol, port: u16) -> std::io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, kind, Some(protocol))?;
-    // Nothing from outside the machine's loopback ever gets here.
+    // Accepts nothing from outside the loopback interface.
     socket.bind_device(Some(b"lo"))?;
     socket.set_reuse_address(true)?;
     socket.bind(&SocketAddr::from((Ipv4Addr::UNSPECIFIED, port)).into())?;
@@ -45,31 +46,32 @@
     Ok(socket)
 }
 
-/// Takes connections to any loopback address at this port.
+/// Listens for connections to any loopback address at this port.
 pub fn listen(port: u16) -> Result<TcpListener, String> {
-    let open = || {
+    let bind = || {
         let socket = on_loopback(Type::STREAM, Protocol::TCP, port)?;
         socket.listen(4_096)?;
         Ok(TcpListener::from_std(socket.into()))
     };
-    open().map_err(|e: std::io::Error| format!("cannot listen at port {port}: {e}"))
+    bind().map_err(|e: std::io::Error| format!("cannot listen on port {port}: {e}"))
 }
 
+/// Receives datagrams to any loopback address at this port.
 pub fn bind_udp(port: u16) -> Result<UdpSocket, String> {
-    let open = || {
+    let bind = || {
         let socket = on_loopback(Type::DGRAM, Protocol::UDP, port)?;
         let _ = socket.set_recv_buffer_size(8 << 20);
         Ok(UdpSocket::from_std(socket.into()))
     };
-    open().map_err(|e: std::io::Error| format!("cannot hear at port {port}: {e}"))
+    bind().map_err(|e: std::io::Error| format!("cannot bind UDP port {port}: {e}"))
 }
 
-/// A connection.
+/// A non-blocking connection with the bytes that were received but not processed, and those not yet sent.
 pub struct BufferedStream {
     pub stream: TcpStream,
     pub received: Vec<u8>,
     pub outgoing: Vec<u8>,
-    /// The other side has ended or broken it.
+    /// The other side has closed or reset the connection.
     pub closed: bool,
 }
 
@@ -87,7 +89,7 @@
         self.stream.register(registry, token, Interest::READABLE | Interest::WRITABLE)
     }
 
-    /// Takes in what is there.
+    /// Reads all bytes that are available.
     pub fn read(&mut self) {
         let mut chunk = [0; 16 * 1024];
         while !self.closed {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Writes what the other side takes.
+    /// Writes as many outgoing bytes as the kernel takes.
     pub fn write(&mut self) {
         while !self.outgoing.is_empty() && !self.closed {
             match self.stream.write(&self.outgoing) {
@@ -113,15 +115,15 @@
         }
     }
 
-    /// Has the connection reset when it is dropped.
+    /// Makes the connection be reset when it is dropped.
     pub fn reset(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// The address that the other side meant.
+    /// The local address: the one that the other side connected to.
     pub fn local_addr(&self) -> Option<SocketAddrV4> {
         match self.stream.local_addr() {
-            Ok(SocketAddr::V4(at)) => Some(at),
+            Ok(SocketAddr::V4(addr)) => Some(addr),
             _ => None,
         }
     }
--- a/crates/lab/src/tier/runner.rs
+++ b/crates/lab/src/tier/runner.rs
@@ -1,11 +1,11 @@
-//! Plays a script: starts real router processes and the laboratory's own round them, does to the processes what the
-//! script says, and hands all that was seen to the judge.
+//! Runs a script: starts real router processes and the laboratory's own processes and threads, applies the
+//! faults on router processes, and passes all recorded events to the judge.
 
-use super::clients::{self, Lives};
+use super::clients::{self, StartCounts};
 use super::judge::{self, Slack, Verdict};
 use super::net::Epoch;
 use super::plan::Plan;
-use super::record::{self, BOUND_MS, Kind, Record, Seen, WINDOW_MS};
+use super::record::{self, Kind, Record, STALENESS_BOUND_MS, Seen, TOKEN_WINDOW_MS};
 use super::script::{Script, What};
 use super::{list, peers};
 use std::cmp::Reverse;
@@ -15,58 +15,61 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 
-/// The programs of a play, and where it may write.
+/// The programs of a run, and the folder of its files.
 pub struct Environment {
-    /// The router, or the laboratory's build of it, which takes clocks that are off.
+    /// The router, or the laboratory's build of it, which supports clocks that are off.
     pub router: PathBuf,
     pub lab: PathBuf,
     pub folder: PathBuf,
 }
 
-/// What came of a play.
+/// The outcome of a run.
 pub struct RunOutcome {
     pub verdict: Verdict,
     pub record: Record,
     pub plan: Plan,
-    /// Processor time of each router over the play, in ms; of its last life.
+    /// Processor time of each router in ms, since the last start of its process.
     pub processor_ms: Vec<f64>,
-    /// Routers that ended by themselves, and how.
+    /// Descriptions of routers that exited unexpectedly, or not in time or not cleanly when terminated.
     pub crashed: Vec<String>,
     pub epoch: Epoch,
 }
 
-/// What a machine that runs all at once may take beyond the rules' own times. Not a promise about the router.
+/// Tolerance beyond the times of the rules, for a machine that runs all processes at once. Not a promise
+/// about the router.
 pub const SLACK: Slack = Slack { answer_ms: 400.0, sent_ms: 250.0, grace_ms: 500.0 + 250.0, age_ms: 100.0 };
 const TEMPLATE: &str = "tier.jsonnet";
 const GRACE_S: f64 = 0.5;
-/// A start of all processes takes so long before the play's time begins, and each so much more.
+/// Time from the start of the processes to the start of the run: a fixed part, and a part for each router.
 const START_MS: f64 = 1_000.0;
 const START_EACH_MS: f64 = 12.0;
-/// Ending: routers get a signal, and this long to end.
-const END_MS: f64 = 6_000.0;
+/// How long routers may take to exit after SIGTERM at the end of the run.
+const EXIT_TIMEOUT_MS: f64 = 6_000.0;
 
+/// A router process and its start count.
 struct Process {
     child: Child,
     life: u32,
 }
 
-/// Starts everything, waits for the end, and judges. Errors are of the laboratory, never of a router.
-pub fn run(script: Script, stage: &Environment) -> Result<RunOutcome, String> {
-    std::fs::create_dir_all(&stage.folder).map_err(|e| format!("{}: {e}", stage.folder.display()))?;
+/// Runs a script to its end and judges it. Errors are those of the laboratory, never of a router.
+pub fn run(script: Script, environment: &Environment) -> Result<RunOutcome, String> {
+    std::fs::create_dir_all(&environment.folder)
+        .map_err(|e| format!("{}: {e}", environment.folder.display()))?;
     let text = toml::to_string(&script).map_err(|e| e.to_string())?;
-    let file = stage.folder.join("script.toml");
+    let file = environment.folder.join("script.toml");
     std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
     if let Some(tier) = &script.tier {
-        let file = stage.folder.join(TEMPLATE);
+        let file = environment.folder.join(TEMPLATE);
         std::fs::write(&file, tier).map_err(|e| format!("{}: {e}", file.display()))?;
     }
     let plan = Plan::new(script);
     let s = &plan.script;
     let epoch = Epoch::starting_in(START_MS + START_EACH_MS * s.routers as f64);
     let mut parts = Vec::new();
-    for part in 0..s.parts() {
-        let to = stage.folder.join(format!("hosts-{part}.bin"));
-        let mut command = Command::new(&stage.lab);
+    for part in 0..s.host_process_count() {
+        let to = environment.folder.join(format!("hosts-{part}.bin"));
+        let mut command = Command::new(&environment.lab);
         command.arg("hosts").arg("--script").arg(&file).arg("--part").arg(part.to_string());
         command
             .arg("--mono")
@@ -74,27 +77,28 @@
             .arg("--unix")
             .arg(epoch.unix_ms.to_string());
         command.arg("--record").arg(&to).stdin(Stdio::null());
-        let child = command.spawn().map_err(|e| format!("{}: {e}", stage.lab.display()))?;
-        parts.push((Ended(child), to));
+        let child = command.spawn().map_err(|e| format!("{}: {e}", environment.lab.display()))?;
+        parts.push((KillOnDrop(child), to));
     }
-    let lives = Lives((0..s.routers).map(|_| AtomicU32::new(0)).collect());
-    let mut routers = Routers { plan: &plan, stage, epoch, processes: HashMap::new(), crashed: Vec::new() };
+    let start_counts = StartCounts((0..s.routers).map(|_| AtomicU32::new(0)).collect());
+    let mut routers =
+        Routers { plan: &plan, environment, epoch, processes: HashMap::new(), crashed: Vec::new() };
     let mut record = std::thread::scope(|scope| {
         let list = scope.spawn(|| list::run(&plan, epoch));
-        let between = scope.spawn(|| peers::run(&plan, epoch));
-        let crowd = scope.spawn(|| clients::run(&plan, epoch, &lives));
-        let seen = routers.run(&lives);
+        let peer_proxy = scope.spawn(|| peers::run(&plan, epoch));
+        let client_loop = scope.spawn(|| clients::run(&plan, epoch, &start_counts));
+        let router_events = routers.run(&start_counts);
         let join = |thread: std::thread::ScopedJoinHandle<'_, Result<Record, String>>, name: &str| {
             thread.join().unwrap_or_else(|_| Err(format!("the thread of {name} panicked")))
         };
-        let mut all = seen?;
+        let mut all = router_events?;
         all.extend(join(list, "the list")?);
-        all.extend(join(between, "peers")?);
-        all.extend(join(crowd, "clients")?);
+        all.extend(join(peer_proxy, "peers")?);
+        all.extend(join(client_loop, "clients")?);
         Ok::<Record, String>(all)
     })?;
-    let processor_ms = routers.used();
-    routers.end();
+    let processor_ms = routers.processor_times();
+    routers.terminate();
     for (mut part, file) in parts {
         part.0.wait().map_err(|e| e.to_string())?;
         record.extend(record::read(&file)?);
@@ -106,107 +110,109 @@
     Ok(RunOutcome { verdict, record, plan, processor_ms, crashed, epoch })
 }
 
-/// A process that is ended with its owner.
-struct Ended(Child);
+/// A child process that is killed when it is dropped.
+struct KillOnDrop(Child);
 
-impl Drop for Ended {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         drop(self.0.kill());
         drop(self.0.wait());
     }
 }
 
-/// What the script has done to a router's process.
+/// A scheduled action on a router process.
 #[derive(Clone, Copy, PartialEq)]
-enum Deed {
+enum Action {
     Kill(usize),
     Stop(usize),
     Continue(usize),
     Terminate(usize),
-    /// Kills what is left of the old process, and starts the next one under its name.
+    /// Kills the old process if it still runs, and starts the next one in its place.
     Start(usize),
 }
 
+/// The router processes of a run.
 struct Routers<'a> {
     plan: &'a Plan,
-    stage: &'a Environment,
+    environment: &'a Environment,
     epoch: Epoch,
     processes: HashMap<usize, Process>,
     crashed: Vec<String>,
 }
 
 impl Routers<'_> {
-    fn run(&mut self, lives: &Lives) -> Result<Record, String> {
-        let (plan, mut seen) = (self.plan, Record::new());
+    /// Starts all routers, executes the scheduled actions and waits for the end of the run.
+    fn run(&mut self, start_counts: &StartCounts) -> Result<Record, String> {
+        let (plan, mut record) = (self.plan, Record::new());
         for router in 0..plan.script.routers {
             self.start(router, 0)?;
-            seen.push((self.epoch.now(), Seen::Started { router: router as u32, life: 0 }));
+            record.push((self.epoch.now(), Seen::Started { router: router as u32, life: 0 }));
         }
-        let mut deeds = deeds(plan);
+        let mut actions = scheduled_actions(plan);
         loop {
             let now = self.epoch.now();
-            let Some(Reverse((at, no))) = deeds.order.pop() else { break };
+            let Some(Reverse((at, no))) = actions.order.pop() else { break };
             if at as f64 / 1e3 > now {
                 std::thread::sleep(std::time::Duration::from_secs_f64((at as f64 / 1e3 - now) / 1e3));
             }
-            let (now, deed) = (self.epoch.now(), deeds.all[no]);
-            match deed {
-                Deed::Kill(r) => {
-                    seen.push((now, Seen::Killed { router: r as u32 }));
+            let (now, action) = (self.epoch.now(), actions.all[no]);
+            match action {
+                Action::Kill(r) => {
+                    record.push((now, Seen::Killed { router: r as u32 }));
                     self.signal(r, nix::sys::signal::Signal::SIGKILL);
                 }
-                Deed::Stop(r) => {
-                    seen.push((now, Seen::Stopped { router: r as u32, on: true }));
+                Action::Stop(r) => {
+                    record.push((now, Seen::Stopped { router: r as u32, on: true }));
                     self.signal(r, nix::sys::signal::Signal::SIGSTOP);
                 }
-                Deed::Continue(r) => {
+                Action::Continue(r) => {
                     self.signal(r, nix::sys::signal::Signal::SIGCONT);
-                    seen.push((self.epoch.now(), Seen::Stopped { router: r as u32, on: false }));
+                    record.push((self.epoch.now(), Seen::Stopped { router: r as u32, on: false }));
                 }
-                Deed::Terminate(r) => self.signal(r, nix::sys::signal::Signal::SIGTERM),
-                Deed::Start(r) => {
+                Action::Terminate(r) => self.signal(r, nix::sys::signal::Signal::SIGTERM),
+                Action::Start(r) => {
                     if let Some(mut old) = self.processes.remove(&r) {
                         drop(old.child.kill());
                         drop(old.child.wait());
-                        lives.0[r].store(old.life + 1, Relaxed);
+                        start_counts.0[r].store(old.life + 1, Relaxed);
                         self.start(r, old.life + 1)?;
                         let life = old.life + 1;
-                        seen.push((self.epoch.now(), Seen::Started { router: r as u32, life }));
+                        record.push((self.epoch.now(), Seen::Started { router: r as u32, life }));
                     }
                 }
             }
         }
         let left = self.plan.ends_at() - self.epoch.now();
         std::thread::sleep(std::time::Duration::from_secs_f64(left.max(0.0) / 1e3));
-        // Who ended without having been told to.
-        let told = |r: usize| {
-            deeds.all.iter().rev().find_map(|d| match d {
-                Deed::Kill(k) | Deed::Terminate(k) if *k == r => Some(true),
-                Deed::Start(k) if *k == r => Some(false),
+        // The last action on a router tells whether its exit is expected.
+        let expected_exit = |r: usize| {
+            actions.all.iter().rev().find_map(|action| match action {
+                Action::Kill(k) | Action::Terminate(k) if *k == r => Some(true),
+                Action::Start(k) if *k == r => Some(false),
                 _ => None,
             })
         };
         for (router, process) in &mut self.processes {
             if let Ok(Some(status)) = process.child.try_wait()
-                && told(*router) != Some(true)
+                && expected_exit(*router) != Some(true)
             {
                 self.crashed.push(format!("router {router} ended by itself: {status}"));
             }
         }
-        Ok(seen)
+        Ok(record)
     }
 
     fn start(&mut self, router: usize, life: u32) -> Result<(), String> {
-        let (s, folder) = (&self.plan.script, &self.stage.folder);
+        let (s, folder) = (&self.plan.script, &self.environment.folder);
         let file = folder.join(format!("router-{router}.json"));
-        let text = settings(self.plan, router, life, self.epoch);
+        let text = router_config(self.plan, router, life, self.epoch);
         std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
         let log = folder.join(format!("router-{router}-{life}.log"));
         let log = File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
-        let mut command = Command::new(&self.stage.router);
+        let mut command = Command::new(&self.environment.router);
         for (no, fault) in s.faults.iter().enumerate() {
             if let What::ClockOff { routers, ms } = &fault.what
-                && s.routers(no, routers).contains(&router)
+                && s.selected_routers(no, routers).contains(&router)
             {
                 command.arg("--clock-off-ms").arg(ms.to_string());
             }
@@ -215,7 +221,7 @@
             command.arg("--tier").arg(folder.join(TEMPLATE));
         }
         command.env("BALANCER_CONFIG", &file).stdin(Stdio::null()).stderr(Stdio::from(log));
-        let child = command.spawn().map_err(|e| format!("{}: {e}", self.stage.router.display()))?;
+        let child = command.spawn().map_err(|e| format!("{}: {e}", self.environment.router.display()))?;
         self.processes.insert(router, Process { child, life });
         Ok(())
     }
@@ -227,18 +233,18 @@
         }
     }
 
-    fn used(&self) -> Vec<f64> {
+    fn processor_times(&self) -> Vec<f64> {
         let of = |r: usize| self.processes.get(&r).map_or(0.0, |p| crate::process::used(p.child.id()));
         (0..self.plan.script.routers).map(of).collect()
     }
 
-    /// Asks all to end, and kills who does not.
-    fn end(&mut self) {
+    /// Terminates all routers, and notes those that fail or do not exit in time. They are killed on drop.
+    fn terminate(&mut self) {
         for router in 0..self.plan.script.routers {
             self.signal(router, nix::sys::signal::Signal::SIGCONT);
             self.signal(router, nix::sys::signal::Signal::SIGTERM);
         }
-        let until = self.epoch.now() + END_MS;
+        let until = self.epoch.now() + EXIT_TIMEOUT_MS;
         for (router, process) in &mut self.processes {
             loop {
                 match process.child.try_wait() {
@@ -267,48 +273,49 @@
     }
 }
 
-struct Deeds {
-    all: Vec<Deed>,
+/// Actions, and their due times in microseconds with their indices.
+struct ActionQueue {
+    all: Vec<Action>,
     order: BinaryHeap<Reverse<(u64, usize)>>,
 }
 
-fn deeds(plan: &Plan) -> Deeds {
-    let mut deeds = Deeds { all: Vec::new(), order: BinaryHeap::new() };
-    let mut add = |at: f64, deed: Deed| {
-        deeds.order.push(Reverse(((at * 1e3) as u64, deeds.all.len())));
-        deeds.all.push(deed);
+fn scheduled_actions(plan: &Plan) -> ActionQueue {
+    let mut actions = ActionQueue { all: Vec::new(), order: BinaryHeap::new() };
+    let mut add = |at: f64, action: Action| {
+        actions.order.push(Reverse(((at * 1e3) as u64, actions.all.len())));
+        actions.all.push(action);
     };
     for (no, fault) in plan.script.faults.iter().enumerate() {
         let (at, until) = (fault.at_ms, fault.at_ms + fault.for_ms);
         match &fault.what {
             What::Kill { routers, again_ms } => {
-                for r in plan.script.routers(no, routers) {
-                    add(at, Deed::Kill(r));
-                    add(at + again_ms, Deed::Start(r));
+                for r in plan.script.selected_routers(no, routers) {
+                    add(at, Action::Kill(r));
+                    add(at + again_ms, Action::Start(r));
                 }
             }
             What::Stop { routers } => {
-                for r in plan.script.routers(no, routers) {
-                    add(at, Deed::Stop(r));
-                    add(until, Deed::Continue(r));
+                for r in plan.script.selected_routers(no, routers) {
+                    add(at, Action::Stop(r));
+                    add(until, Action::Continue(r));
                 }
             }
             What::Restart { routers, again_ms } => {
-                let all = plan.script.routers(no, routers);
+                let all = plan.script.selected_routers(no, routers);
                 let each = fault.for_ms / all.len().max(1) as f64;
                 for (i, r) in all.into_iter().enumerate() {
-                    add(at + i as f64 * each, Deed::Terminate(r));
-                    add(at + i as f64 * each + again_ms, Deed::Start(r));
+                    add(at + i as f64 * each, Action::Terminate(r));
+                    add(at + i as f64 * each + again_ms, Action::Start(r));
                 }
             }
             _ => {}
         }
     }
-    deeds
+    actions
 }
 
 /// A router's configuration, as the platform would write it.
-fn settings(plan: &Plan, router: usize, life: u32, epoch: Epoch) -> String {
+fn router_config(plan: &Plan, router: usize, life: u32, epoch: Epoch) -> String {
     let s = &plan.script;
     let kind = |kind: Kind| {
         let effect = match kind {
@@ -316,9 +323,9 @@
             Kind::Once => "single_shot",
             _ => "free",
         };
-        serde_json::json!({"name": kind.name(), "effect": effect, "deadline_s": clients::WAIT_MS / 1e3,
-            "goal_time_s": clients::WAIT_MS / 2e3, "group": "cell", "late_worth": 0.3, "value": 1,
-            "window_s": WINDOW_MS / 1e3})
+        serde_json::json!({"name": kind.name(), "effect": effect, "deadline_s": clients::CLIENT_TIMEOUT_MS / 1e3,
+            "goal_time_s": clients::CLIENT_TIMEOUT_MS / 2e3, "group": "cell", "late_worth": 0.3, "value": 1,
+            "window_s": TOKEN_WINDOW_MS / 1e3})
     };
     let level = |kind: Kind| match kind {
         Kind::Tokened | Kind::Once => "write",
@@ -327,18 +334,18 @@
         Kind::Bounded => "bounded",
         Kind::Any => "any",
     };
-    let bound = |kind: Kind| if kind == Kind::Bounded { BOUND_MS / 1e3 } else { 0.0 };
+    let bound = |kind: Kind| if kind == Kind::Bounded { STALENESS_BOUND_MS / 1e3 } else { 0.0 };
     let zones: Vec<String> = (0..s.zones).map(|z| format!("z{z}")).collect();
     let h = &s.host;
-    let mut whole = serde_json::json!({
+    let mut config = serde_json::json!({
         "name": format!("r{router}"),
-        "listen": s.router_at(router).to_string(),
-        "discovery": s.list_at(router).to_string(),
+        "listen": s.router_addr(router).to_string(),
+        "discovery": s.list_addr(router).to_string(),
         "seed": format!("{:x}", s.seed.wrapping_mul(1_000_003).wrapping_add((router as u64) << 8 | u64::from(life))),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024},
-        "peer_listen": s.hears_at(router).to_string(),
-        "peers": (0..s.routers).map(|p| s.peer_at(router, p).to_string()).collect::<Vec<_>>(),
-        "peers_all": s.peer_at(router, peers::ALL).to_string(),
+        "peer_listen": s.peer_listen_addr(router).to_string(),
+        "peers": (0..s.routers).map(|p| s.peer_proxy_addr(router, p).to_string()).collect::<Vec<_>>(),
+        "peers_all": s.peer_proxy_addr(router, peers::BROADCAST).to_string(),
         "settings": {
             "balancers": s.routers, "me": router, "tick_s": 0.005, "discovery": "automatic",
             "areas": zones, "az": s.zone_of_router(router),
@@ -355,17 +362,17 @@
                 "fall_multiple": h.fall_multiple, "fall_s": h.fall_ms / 1e3}
         }
     });
-    let (page, _) = list::page(plan, router, None, epoch.now().max(0.0), &epoch);
-    whole["known"] = serde_json::from_str(&page).unwrap_or_default();
-    whole.to_string()
+    let (list, _) = list::list_response(plan, router, None, epoch.now().max(0.0), &epoch);
+    config["known"] = serde_json::from_str(&list).unwrap_or_default();
+    config.to_string()
 }
 
-/// Where a play's files are, by default.
+/// The default folder of the files of a run.
 pub fn default_folder(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("magpiewell-tier-{name}-{}", std::process::id()))
 }
 
-/// The process of one part of the hosts.
+/// Runs one process of simulated hosts; writes its record to `to`.
 pub fn run_hosts(script: &Path, part: usize, epoch: Epoch, to: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(script).map_err(|e| format!("{}: {e}", script.display()))?;
     let plan = Plan::new(Script::from_toml(&text)?);
--- a/crates/lab/src/tier/script.rs
+++ b/crates/lab/src/tier/script.rs
@@ -1,122 +1,124 @@
-//! What a play of a tier is: how many of what, which load, and which faults when. A script and its seed say all of it;
-//! every process of the laboratory derives the same plan from the same text. No I/O, no clock.
+//! The script of a run: sizes of the tier, load, and scheduled faults. A script and its seed determine the
+//! whole run; every process of the laboratory derives the same plan from the same text. No I/O, no clock.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Hosts that one process holds: every router may have several connections to each.
-pub const A_PROCESS: usize = 60;
+/// Hosts that one process simulates. Limited because every router may hold several connections to each host.
+pub const HOSTS_PER_PROCESS: usize = 60;
 
-/// Times in ms since the play's start, rates a second.
+/// A run as described in TOML. Times are in ms since the start of the run, rates per second.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
     pub seed: u64,
-    /// How long clients ask, and how long the tier is watched after that.
+    /// How long clients send ops, and how long the tier is observed after that (`tail_ms`).
     pub lasts_ms: f64,
-    #[serde(default = "tail")]
+    #[serde(default = "default_tail_ms")]
     pub tail_ms: f64,
     pub routers: usize,
     pub zones: usize,
     pub groups: usize,
-    /// Hosts in all; groups get them in turn, each a primary first.
+    /// Total number of hosts. They are assigned to the groups in turn, the primary of each group first.
     pub hosts: usize,
-    /// The base of the play's ports, so that several can run side by side.
-    #[serde(default = "ports")]
+    /// First port of the run, so that several runs can take place side by side.
+    #[serde(default = "default_port")]
     pub port: u16,
     pub load: Load,
     #[serde(default)]
     pub host: HostFacts,
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// The template by which routers tell one another what they see; they tell nothing where it is left out.
+    /// Template of the tier settings by which routers exchange observations. Without it they exchange
+    /// nothing.
     #[serde(default)]
     pub tier: Option<String>,
-    /// Hosts answer reads from what they have, so that freshness is the router's care alone.
-    #[serde(default = "yes")]
+    /// Whether hosts serve reads without checking staleness, so that only the router ensures freshness.
+    #[serde(default = "default_unchecked")]
     pub unchecked: bool,
 }
 
-fn tail() -> f64 {
+fn default_tail_ms() -> f64 {
     3_000.0
 }
 
-fn ports() -> u16 {
+fn default_port() -> u16 {
     21_000
 }
 
-fn yes() -> bool {
+fn default_unchecked() -> bool {
     true
 }
 
-/// What clients ask, by all of them together.
+/// The load of all clients together.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
+    /// Ops per second.
     pub ops: f64,
-    /// Part of ops of each type: writes that carry a token, writes that must not be repeated, fresh reads, session
-    /// reads, bounded reads; the rest are reads that any member may answer.
-    #[serde(default = "tokened")]
+    /// Share of each op type: tokened writes, writes that must not be repeated, fresh reads, session reads
+    /// and bounded reads. The rest are reads that any member may answer.
+    #[serde(default = "default_tokened")]
     pub tokened: f64,
-    #[serde(default = "once")]
+    #[serde(default = "default_once")]
     pub once: f64,
-    #[serde(default = "some")]
+    #[serde(default = "default_fresh_or_session")]
     pub fresh: f64,
-    #[serde(default = "some")]
+    #[serde(default = "default_fresh_or_session")]
     pub session: f64,
-    #[serde(default = "half")]
+    #[serde(default = "default_bounded")]
     pub bounded: f64,
-    /// A router gets up to so many times what another one gets.
-    #[serde(default = "skew")]
+    /// Highest ratio between the loads of two routers.
+    #[serde(default = "default_skew")]
     pub skew: f64,
-    /// Part of ops whose clients go while they wait.
+    /// Share of ops whose client disconnects while it waits.
     #[serde(default)]
     pub leave: f64,
 }
 
-fn tokened() -> f64 {
+fn default_tokened() -> f64 {
     0.08
 }
 
-fn once() -> f64 {
+fn default_once() -> f64 {
     0.04
 }
 
-fn some() -> f64 {
+fn default_fresh_or_session() -> f64 {
     0.08
 }
 
-fn half() -> f64 {
+fn default_bounded() -> f64 {
     0.5
 }
 
-fn skew() -> f64 {
+fn default_skew() -> f64 {
     4.0
 }
 
-/// What a stand-in host of size 1 is.
+/// Properties of a simulated host of size 1.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct HostFacts {
     pub cores: usize,
-    /// Mean work of a read and of a write, and the spread of its logarithm.
+    /// Mean work of a read and of a write; `spread` is the standard deviation of its logarithm.
     pub read_ms: f64,
     pub write_ms: f64,
     pub spread: f64,
     pub queue: usize,
     pub connections: usize,
-    /// What a new connection costs the host.
+    /// Work that a new connection costs the host.
     pub dial_ms: f64,
     pub lag_ms: f64,
     pub cold_from: f64,
     pub cold_ms: f64,
     pub fall_multiple: f64,
     pub fall_ms: f64,
-    /// How long one that fell stays down.
+    /// How long a host stays down after it was overloaded.
     pub down_ms: f64,
-    /// Sizes are drawn from 1 to this.
+    /// Sizes are random between 1 and this value.
     pub largest: f64,
 }
 
@@ -141,7 +143,7 @@
     }
 }
 
-/// Who a fault is about. Numbers count from 0.
+/// The routers or hosts that a fault affects. Numbers count from 0.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Who {
@@ -149,10 +151,11 @@
     One(usize),
     Some(Vec<usize>),
     Zone(usize),
-    /// This part of all, drawn by the seed and the fault's place in the script.
+    /// A random share of all, determined by the seed and the index of the fault in the script.
     Part(f64),
 }
 
+/// A scheduled fault: it starts at `at_ms` and lasts `for_ms`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub struct Fault {
@@ -162,113 +165,62 @@
     pub what: What,
 }
 
-/// What goes wrong. Links name their two ends; what holds for both directions says so.
+/// Kinds of faults. A fault on a link names packed of its ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum What {
-    /// Bytes between these routers and hosts wait, without a sign.
-    StallHosts {
-        routers: Who,
-        hosts: Who,
-    },
-    /// Connections between these are reset, and new ones at once too.
-    ResetHosts {
-        routers: Who,
-        hosts: Who,
-    },
-    DelayHosts {
-        routers: Who,
-        hosts: Who,
-        ms: f64,
-    },
-    /// Only what hosts say waits: ops arrive and run, answers don't come.
-    MuteHosts {
-        routers: Who,
-        hosts: Who,
-    },
-    StallClients {
-        routers: Who,
-    },
-    ResetClients {
-        routers: Who,
-    },
-    /// The list is not answered to these.
-    SilenceList {
-        routers: Who,
-    },
-    /// Peers' datagrams from these to those are lost in this part, or doubled, held for so long, or come in disorder.
-    LosePeers {
-        from: Who,
-        to: Who,
-        part: f64,
-    },
-    DoublePeers {
-        from: Who,
-        to: Who,
-        part: f64,
-    },
-    DelayPeers {
-        from: Who,
-        to: Who,
-        ms: f64,
-    },
-    /// They wait and then come all at once.
-    StallPeers {
-        from: Who,
-        to: Who,
-    },
-    /// A zone's routers are cut off from all others' routers and hosts, and others from its hosts.
-    CutZone {
-        zone: usize,
-    },
-    Kill {
-        routers: Who,
-        again_ms: f64,
-    },
-    Stop {
-        routers: Who,
-    },
-    Restart {
-        routers: Who,
-        again_ms: f64,
-    },
-    /// Set at the start of these routers' processes: their clocks are off by this.
-    ClockOff {
-        routers: Who,
-        ms: f64,
-    },
-    /// Hosts are replaced by new, cold ones: drained, gone, and new ids listed.
-    Replace {
-        hosts: Who,
-    },
-    /// Hosts die and come back, cold, when the fault ends.
-    Crash {
-        hosts: Who,
-    },
-    Slow {
-        hosts: Who,
-        times: f64,
-    },
-    Lag {
-        hosts: Who,
-        ms: f64,
-    },
-    /// These hosts tell that they have all that is committed, whatever they have.
-    Boast {
-        hosts: Who,
-    },
+    /// Bytes between these routers and hosts are held back silently, in packed directions.
+    StallHosts { routers: Who, hosts: Who },
+    /// Connections between these routers and hosts are reset, new ones immediately.
+    ResetHosts { routers: Who, hosts: Who },
+    /// Replies of these hosts to these routers are delayed by `ms`.
+    DelayHosts { routers: Who, hosts: Who, ms: f64 },
+    /// Only the replies of hosts are held back: ops arrive and run, but their answers do not.
+    MuteHosts { routers: Who, hosts: Who },
+    /// Bytes between these routers and their clients are held back.
+    StallClients { routers: Who },
+    /// Connections between these routers and their clients are reset.
+    ResetClients { routers: Who },
+    /// The list service does not answer these routers.
+    SilenceList { routers: Who },
+    /// This share of the peer datagrams from `from` to `to` is lost.
+    LosePeers { from: Who, to: Who, part: f64 },
+    /// This share of the peer datagrams is duplicated; the copy may arrive out of order.
+    DoublePeers { from: Who, to: Who, part: f64 },
+    /// Peer datagrams are delayed by `ms` on average, so that they may arrive out of order.
+    DelayPeers { from: Who, to: Who, ms: f64 },
+    /// Peer datagrams are held back until the fault ends and then delivered all at once.
+    StallPeers { from: Who, to: Who },
+    /// The routers of a zone are cut off from the routers and hosts of all other zones, and the routers of
+    /// other zones from its hosts.
+    CutZone { zone: usize },
+    /// Router processes are killed and started again `again_ms` later.
+    Kill { routers: Who, again_ms: f64 },
+    /// Router processes are suspended (SIGSTOP) until the fault ends.
+    Stop { routers: Who },
+    /// Router processes are terminated (SIGTERM) one after another, each started again `again_ms` later.
+    Restart { routers: Who, again_ms: f64 },
+    /// The clocks of these routers are off by `ms`; set when their processes start.
+    ClockOff { routers: Who, ms: f64 },
+    /// Hosts are replaced by new, cold ones: the new ids are listed, the old ones drain and are removed from
+    /// the list.
+    Replace { hosts: Who },
+    /// Hosts crash and come back, cold, when the fault ends.
+    Crash { hosts: Who },
+    /// Statements on these hosts take `times` as much work.
+    Slow { hosts: Who, times: f64 },
+    /// These hosts are behind by a further `ms`.
+    Lag { hosts: Who, ms: f64 },
+    /// These hosts report a current commit clock, however far they are behind.
+    Boast { hosts: Who },
     /// The group's next member becomes its primary.
-    MovePrimary {
-        group: usize,
-    },
-    /// A peer of no router's shouts what is not so.
-    Liar {
-        rate: f64,
-    },
+    MovePrimary { group: usize },
+    /// Datagrams of random bytes are sent to random routers under the addresses of peers, `rate` per second.
+    Liar { rate: f64 },
 }
 
 impl Script {
-    /// From TOML; an error names the key.
+    /// Parses and validates a script in TOML; an error names the key.
     pub fn from_toml(text: &str) -> Result<Script, String> {
         let script: Script = toml::from_str(text).map_err(|e| e.to_string())?;
         script.check().map(|()| script)
@@ -281,9 +233,9 @@
             ("groups", self.groups, 250),
             ("hosts", self.hosts, 250),
         ];
-        for (key, value, most) in counts {
-            if value == 0 || value > most {
-                return Err(format!("{key} is out of range: {value}, 1 to {most}"));
+        for (key, value, max) in counts {
+            if value == 0 || value > max {
+                return Err(format!("{key} is out of range: {value}, 1 to {max}"));
             }
         }
         if self.hosts < self.groups {
@@ -291,37 +243,40 @@
         }
         let l = &self.load;
         if !(0.0..=20_000.0).contains(&l.ops) || l.tokened + l.once + l.fresh + l.session + l.bounded > 1.0 {
-            return Err("load is out of range: at most 20000 ops, parts of 1 in all".into());
+            return Err("load is out of range: at most 20000 ops, shares that add up to at most 1".into());
         }
         if !self.unchecked && l.session > 0.0 {
             return Err(
-                "unchecked = false: stand-ins can't check session reads, load.session must be 0".into()
+                "unchecked = false: simulated hosts can't check session reads, load.session must be 0".into(),
             );
         }
         if !(0.0..=600_000.0).contains(&self.lasts_ms) || !(0.0..=60_000.0).contains(&self.tail_ms) {
-            return Err("lasts_ms or tail_ms is out of range: at most ten minutes and one".into());
+            return Err("lasts_ms or tail_ms is out of range: at most 600000 and 60000".into());
         }
         Ok(())
     }
 
-    /// Chance of its own for each use, the same in all processes.
+    /// A random number generator for one purpose, given by `salt`. All processes get the same sequence.
     pub fn rng(&self, salt: u64) -> ChaCha8Rng {
         ChaCha8Rng::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(salt))
     }
 
+    /// The group of a host. Groups differ in size.
     pub fn group_of(&self, host: usize) -> usize {
-        // Groups are of unlike size: every third gets a second turn as long as there are hosts.
+        // Each group first gets two hosts, where there are enough. Further hosts are assigned with a stride
+        // of three, so that groups differ in size: if three divides the number of groups, only every third
+        // group gets them.
         let base = host % self.hosts;
         if base < 2 * self.groups.min(self.hosts / 2) { base % self.groups } else { (base * 3) % self.groups }
     }
 
-    /// The members of a group that the play starts with; the first is its primary.
+    /// The members of a group at the start of the run; the first is its primary.
     pub fn members(&self, group: usize) -> Vec<usize> {
         (0..self.hosts).filter(|h| self.group_of(*h) == group).collect()
     }
 
-    /// What a group's replicas can do together.
-    pub fn room(&self, group: usize) -> f64 {
+    /// The total size of a group's replicas; of its primary if it has no replica.
+    pub fn replica_capacity(&self, group: usize) -> f64 {
         let members = self.members(group);
         let replicas = if members.len() > 1 { &members[1..] } else { &members[..] };
         replicas.iter().map(|h| self.size(*h)).sum()
@@ -336,109 +291,124 @@
         router % self.zones
     }
 
-    /// How big a host is against others; the play's first primaries are as big as any.
+    /// The relative capacity of a host. The primaries at the start of the run have the largest size.
     pub fn size(&self, host: usize) -> f64 {
         if host % self.hosts < self.groups {
             return self.host.largest;
         }
-        let mut chance = self.rng(1_000 + (host % self.hosts) as u64);
-        (1.0 + random_unit(&mut chance) * (self.host.largest - 1.0)).round()
+        let mut rng = self.rng(1_000 + (host % self.hosts) as u64);
+        (1.0 + random_unit(&mut rng) * (self.host.largest - 1.0)).round()
     }
 
-    /// Replaced hosts go by the number of the one before them plus the number of hosts.
-    pub fn all_hosts(&self) -> usize {
+    /// Size of the range of host ids. The replacement of host n has id n + `hosts`.
+    pub fn hosts_with_replacements(&self) -> usize {
         let replaced = self.faults.iter().any(|f| matches!(f.what, What::Replace { .. }));
         if replaced { 2 * self.hosts } else { self.hosts }
     }
 
-    /// Whom a fault is about, of so many, by number. `zones` tells the zone of each.
-    pub fn chosen(&self, fault: usize, who: &Who, of: usize, zones: impl Fn(usize) -> usize) -> Vec<usize> {
+    /// The numbers, below `count`, of the routers or hosts that a fault affects. `zone_of` returns the zone
+    /// of each.
+    pub fn select(
+        &self,
+        fault: usize,
+        who: &Who,
+        count: usize,
+        zone_of: impl Fn(usize) -> usize,
+    ) -> Vec<usize> {
         match who {
-            Who::All => (0..of).collect(),
-            Who::One(one) => (0..of).filter(|n| n == one).collect(),
-            Who::Some(some) => (0..of).filter(|n| some.contains(n)).collect(),
-            Who::Zone(zone) => (0..of).filter(|n| zones(*n) == *zone).collect(),
+            Who::All => (0..count).collect(),
+            Who::One(one) => (0..count).filter(|n| n == one).collect(),
+            Who::Some(some) => (0..count).filter(|n| some.contains(n)).collect(),
+            Who::Zone(zone) => (0..count).filter(|n| zone_of(*n) == *zone).collect(),
             Who::Part(part) => {
-                let mut chance = self.rng(5_000 + fault as u64);
-                let mut order: Vec<(u64, usize)> = (0..of).map(|n| (chance.next_u64(), n)).collect();
+                let mut rng = self.rng(5_000 + fault as u64);
+                let mut order: Vec<(u64, usize)> = (0..count).map(|n| (rng.next_u64(), n)).collect();
                 order.sort_unstable();
-                let count = (of as f64 * part.clamp(0.0, 1.0)).round() as usize;
-                let mut chosen: Vec<usize> = order.into_iter().take(count).map(|(_, n)| n).collect();
-                chosen.sort_unstable();
-                chosen
+                let selected_count = (count as f64 * part.clamp(0.0, 1.0)).round() as usize;
+                let mut selected: Vec<usize> =
+                    order.into_iter().take(selected_count).map(|(_, n)| n).collect();
+                selected.sort_unstable();
+                selected
             }
         }
     }
 
-    pub fn routers(&self, fault: usize, who: &Who) -> Vec<usize> {
-        self.chosen(fault, who, self.routers, |n| self.zone_of_router(n))
+    /// The routers that a fault affects.
+    pub fn selected_routers(&self, fault: usize, who: &Who) -> Vec<usize> {
+        self.select(fault, who, self.routers, |n| self.zone_of_router(n))
     }
 
-    /// Hosts of the play's start; their replacements are meant with them.
-    pub fn hosts(&self, fault: usize, who: &Who) -> Vec<usize> {
-        self.chosen(fault, who, self.hosts, |n| self.zone_of_host(n))
+    /// The hosts that a fault affects, of those at the start of the run. Faults on links apply to their
+    /// replacements too.
+    pub fn selected_hosts(&self, fault: usize, who: &Who) -> Vec<usize> {
+        self.select(fault, who, self.hosts, |n| self.zone_of_host(n))
     }
 
-    // ---- addresses: all on loopback, each pair of ends of its own, so that every link can be told from every other
+    // Addresses. All are on loopback; each pair of ends has an address of its own, so that every link can be
+    // identified.
 
-    /// Where a router's clients reach it.
-    pub fn router_at(&self, router: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(pair(1, router, 0), self.port)
+    /// The address at which clients connect to a router.
+    pub fn router_addr(&self, router: usize) -> SocketAddrV4 {
+        SocketAddrV4::new(encode_pair(1, router, 0), self.port)
     }
 
-    /// Where a host is reached by one router: each process of hosts has a port of its own.
-    pub fn host_at(&self, router: usize, host: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(pair(2, router, host % 256), self.hosts_port(host / A_PROCESS))
+    /// The address at which one router connects to a host. Each host process has a port of its own.
+    pub fn host_addr(&self, router: usize, host: usize) -> SocketAddrV4 {
+        SocketAddrV4::new(encode_pair(2, router, host % 256), self.host_port(host / HOSTS_PER_PROCESS))
     }
 
-    pub fn hosts_port(&self, part: usize) -> u16 {
-        self.port + 10 + part as u16
+    /// The port of a host process.
+    pub fn host_port(&self, process: usize) -> u16 {
+        self.port + 10 + process as u16
     }
 
-    /// Processes that it takes to hold all hosts.
-    pub fn parts(&self) -> usize {
-        self.all_hosts().div_ceil(A_PROCESS)
+    /// Number of processes that are needed to simulate all hosts.
+    pub fn host_process_count(&self) -> usize {
+        self.hosts_with_replacements().div_ceil(HOSTS_PER_PROCESS)
     }
 
-    /// Where the list is, for one router.
-    pub fn list_at(&self, router: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(pair(1, router, 0), self.port + 1)
+    /// The address of the list service for one router.
+    pub fn list_addr(&self, router: usize) -> SocketAddrV4 {
+        SocketAddrV4::new(encode_pair(1, router, 0), self.port + 1)
     }
 
-    /// Where a router hears its peers, and where one router reaches another: the laboratory stands between.
-    pub fn hears_at(&self, router: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(pair(1, router, 0), self.port + 2)
+    /// The address at which a router receives datagrams of its peers.
+    pub fn peer_listen_addr(&self, router: usize) -> SocketAddrV4 {
+        SocketAddrV4::new(encode_pair(1, router, 0), self.port + 2)
     }
 
-    pub fn peer_at(&self, from: usize, to: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(peers(from, to), self.port + 3)
+    /// The address to which router `from` sends datagrams for router `to`; the laboratory forwards them.
+    pub fn peer_proxy_addr(&self, from: usize, to: usize) -> SocketAddrV4 {
+        SocketAddrV4::new(encode_peer_pair(from, to), self.port + 3)
     }
 }
 
-/// 127.(kind and two bits of the first).(eight bits of it).(the second).
-fn pair(kind: u8, first: usize, second: usize) -> Ipv4Addr {
+/// Encodes a pair as 127.(kind and the two high bits of `first`).(its eight low bits).(`second`).
+fn encode_pair(kind: u8, first: usize, second: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, kind << 3 | (first >> 8) as u8, first as u8, second as u8)
 }
 
-/// The two ends of a pair of a router and a host.
-pub fn ends(at: &Ipv4Addr) -> (usize, usize) {
-    let [_, b, c, d] = at.octets();
+/// The router and the low byte of the host number that an address made by [`encode_pair`] stands for.
+pub fn decode_pair(addr: &Ipv4Addr) -> (usize, usize) {
+    let [_, b, c, d] = addr.octets();
     (((b & 7) as usize) << 8 | c as usize, d as usize)
 }
 
-/// Two numbers of ten bits; the highest of the three bytes is at least 0x40, off all other addresses.
-fn peers(from: usize, to: usize) -> Ipv4Addr {
-    let both = 0x40_0000 | from << 10 | to;
-    Ipv4Addr::new(127, (both >> 16) as u8, (both >> 8) as u8, both as u8)
+/// Encodes two numbers of ten bits. The second byte of the address is at least 0x40, so that it differs from
+/// those made by [`encode_pair`].
+fn encode_peer_pair(from: usize, to: usize) -> Ipv4Addr {
+    let packed = 0x40_0000 | from << 10 | to;
+    Ipv4Addr::new(127, (packed >> 16) as u8, (packed >> 8) as u8, packed as u8)
 }
 
-pub fn peer_ends(at: &Ipv4Addr) -> (usize, usize) {
-    let [_, b, c, d] = at.octets();
-    let both = (b as usize) << 16 | (c as usize) << 8 | d as usize;
-    (both >> 10 & 0x3ff, both & 0x3ff)
+/// The sending and the receiving router of an address made by [`encode_peer_pair`].
+pub fn decode_peer_pair(addr: &Ipv4Addr) -> (usize, usize) {
+    let [_, b, c, d] = addr.octets();
+    let packed = (b as usize) << 16 | (c as usize) << 8 | d as usize;
+    (packed >> 10 & 0x3ff, packed & 0x3ff)
 }
 
-/// Chance in [0, 1).
-pub fn random_unit(chance: &mut ChaCha8Rng) -> f64 {
-    f64::from(chance.next_u32()) / 4_294_967_296.0
+/// A uniformly distributed random number in [0, 1).
+pub fn random_unit(rng: &mut ChaCha8Rng) -> f64 {
+    f64::from(rng.next_u32()) / 4_294_967_296.0
 }
