--- a/crates/lab/src/tier/record.rs
+++ b/crates/lab/src/tier/record.rs
@@ -84,7 +84,7 @@
     Told { router: u32, host: u32, ready: bool },
     /// A cold host was sent more work than it can bear and went down.
     Fell { host: u32 },
-    /// The script started a router process.
+    /// A router process was started.
     Started { router: u32, life: u32 },
     /// The script killed a router process.
     Killed { router: u32 },
--- a/crates/lab/src/tier/runner.rs
+++ b/crates/lab/src/tier/runner.rs
@@ -38,7 +38,9 @@
 /// Tolerance beyond the times of the rules, for a machine that runs all processes at once. Not a promise
 /// about the router.
 pub const SLACK: Slack = Slack { answer_ms: 400.0, sent_ms: 250.0, grace_ms: 500.0 + 250.0, age_ms: 100.0 };
+/// File name of the template of the tier settings.
 const TEMPLATE: &str = "tier.jsonnet";
+/// Drain grace in the configuration of the routers; also part of `SLACK.grace_ms`.
 const GRACE_S: f64 = 0.5;
 /// Time from the start of the processes to the start of the run: a fixed part, and a part for each router.
 const START_MS: f64 = 1_000.0;
--- a/crates/lab/src/tier/script.rs
+++ b/crates/lab/src/tier/script.rs
@@ -165,11 +165,11 @@
     pub what: What,
 }
 
-/// Kinds of faults. A fault on a link names packed of its ends.
+/// Kinds of faults. A fault on a link names both of its ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum What {
-    /// Bytes between these routers and hosts are held back silently, in packed directions.
+    /// Bytes between these routers and hosts are held back silently, in both directions.
     StallHosts { routers: Who, hosts: Who },
     /// Connections between these routers and hosts are reset, new ones immediately.
     ResetHosts { routers: Who, hosts: Who },
