--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -78,16 +78,16 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// Hollow routers
-        #[arg(long, default_value_t = prove::HOLLOW)]
+        #[arg(long, default_value_t = prove::DEFAULT_HOLLOW_ROUTERS)]
         routers: usize,
         /// Real routers
-        #[arg(long, default_value_t = prove::REAL)]
+        #[arg(long, default_value_t = prove::DEFAULT_REAL_ROUTERS)]
         real: usize,
         /// Processes of the hollow ones, a multiple of six
-        #[arg(long, default_value_t = prove::PROCESSES)]
+        #[arg(long, default_value_t = prove::DEFAULT_PROCESSES)]
         processes: usize,
         /// Port of all routers
-        #[arg(long, default_value_t = prove::PORT)]
+        #[arg(long, default_value_t = prove::DEFAULT_PORT)]
         port: u16,
         /// The router's program
         #[arg(long, default_value = "target/release/magpiewell-router")]
@@ -147,8 +147,8 @@
 fn scale(request: &prove::Request, router: PathBuf, html: Option<&Path>) -> Result<bool, String> {
     let lab = std::env::current_exe().map_err(|e| e.to_string())?;
     let folder = runner::default_folder("scale");
-    let stage = scale::play::Stage { router, lab, folder: folder.clone() };
-    let proved = prove::prove(request, &stage, html);
+    let environment = scale::runner::Environment { router, lab, folder: folder.clone() };
+    let proved = prove::prove(request, &environment, html);
     drop(std::fs::remove_dir_all(&folder));
     proved
 }
--- a/crates/lab/src/scale/prove.rs
+++ b/crates/lab/src/scale/prove.rs
@@ -3,19 +3,19 @@
 
 use super::judge::{Verdict, judge};
 use super::plan::{Durations, Plan, Variant};
-use super::play::{Play, Stage};
 use super::report::{self, Section};
+use super::runner::{Environment, Play};
 use std::path::Path;
 
 /// Sizes where the caller names none.
-pub const HOLLOW: usize = 300;
-pub const REAL: usize = 12;
-pub const PROCESSES: usize = 12;
+pub const DEFAULT_HOLLOW_ROUTERS: usize = 300;
+pub const DEFAULT_REAL_ROUTERS: usize = 12;
+pub const DEFAULT_PROCESSES: usize = 12;
 pub const ZONES: usize = 6;
 /// Less than what facts may be ahead.
 pub const CLOCK_AHEAD_MS: f64 = 1_000.0;
 /// The port of all routers' datagrams.
-pub const PORT: u16 = 24_800;
+pub const DEFAULT_PORT: u16 = 24_800;
 /// The settings of the tier that are deployed.
 pub const TEMPLATE: &str = include_str!("../../../../deploy/tier.jsonnet");
 
@@ -49,8 +49,8 @@
 }
 
 /// Runs one test to its end and judges it.
-pub fn run(plan: &Plan, stage: &Stage) -> Result<Verdict, String> {
-    let mut play = Play::start(plan, stage)?;
+pub fn run(plan: &Plan, environment: &Environment) -> Result<Verdict, String> {
+    let mut play = Play::start(plan, environment)?;
     play.run()?;
     let recorder = play.recorder.clone();
     // Ends all processes, so that nothing more is seen.
@@ -60,23 +60,23 @@
 
 /// Runs the test and the control, prints the figures and writes the report; true where every aim was kept
 /// and the control missed its own.
-pub fn prove(request: &Request, stage: &Stage, html: Option<&Path>) -> Result<bool, String> {
+pub fn prove(request: &Request, environment: &Environment, html: Option<&Path>) -> Result<bool, String> {
     let Request { seed, hollow, real, processes, .. } = request;
     println!(
         "{hollow} hollow routers in {processes} processes, {real} real routers, {ZONES} zones, seed {seed}"
     );
     let plan = request.plan(Variant::Sound, Durations::PROOF);
     println!("all faults: {:.0} s", plan.durations.total_ms() / 1e3);
-    let sound = run(&plan, stage)?;
+    let sound = run(&plan, environment)?;
     report::lines(&sound).iter().for_each(|line| println!("  {line}"));
     let plan = request.plan(Variant::ZonesMute, Durations::CONTROL);
     println!("control, zones can't reach each other, must fail: {:.0} s", plan.durations.total_ms() / 1e3);
-    let control = run(&plan, stage)?;
+    let control = run(&plan, environment)?;
     report::lines(&control).iter().for_each(|line| println!("  {line}"));
     let plan =
         Plan { template: TEMPLATE_WITHOUT_ZONES.into(), ..request.plan(Variant::Sound, Durations::CONTROL) };
     println!("control, without evidence of zones, must fail: {:.0} s", plan.durations.total_ms() / 1e3);
-    let without_zones = run(&plan, stage)?;
+    let without_zones = run(&plan, environment)?;
     report::lines(&without_zones).iter().for_each(|line| println!("  {line}"));
     let controls_fail = control.control_fails() && without_zones.misses_loss();
     if let Some(html) = html {
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -60,7 +60,7 @@
     let log = folder.join(format!("router-{member}.log"));
     let mut log = File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
     let mut command = Command::new(program);
-    command.arg("--tier").arg(folder.join(super::play::TEMPLATE)).env("BALANCER_CONFIG", &file);
+    command.arg("--tier").arg(folder.join(super::runner::TEMPLATE)).env("BALANCER_CONFIG", &file);
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
     let mut child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
     let lines = BufReader::new(child.stderr.take().expect("was asked for")).lines();
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/runner.rs
@@ -29,7 +29,7 @@
 const START_BOUND: Duration = Duration::from_secs(120);
 
 /// The programs of a test, and where it may write.
-pub struct Stage {
+pub struct Environment {
     pub router: PathBuf,
     pub lab: PathBuf,
     pub folder: PathBuf,
@@ -68,7 +68,7 @@
     pub plan: &'a Plan,
     pub epoch: Epoch,
     pub recorder: Arc<Recorder>,
-    stage: &'a Stage,
+    environment: &'a Environment,
     processes: HashMap<ProcessName, Process>,
     usage_at: f64,
     faults: Faults,
@@ -76,19 +76,20 @@
 
 impl<'a> Play<'a> {
     /// Starts all processes and waits until all hollow ones run.
-    pub fn start(plan: &'a Plan, stage: &'a Stage) -> Result<Play<'a>, String> {
+    pub fn start(plan: &'a Plan, environment: &'a Environment) -> Result<Play<'a>, String> {
         plan.check()?;
         hollow::check(plan)?;
-        std::fs::create_dir_all(&stage.folder).map_err(|e| format!("{}: {e}", stage.folder.display()))?;
+        std::fs::create_dir_all(&environment.folder)
+            .map_err(|e| format!("{}: {e}", environment.folder.display()))?;
         let text = serde_json::to_string(plan).map_err(|e| e.to_string())?;
         for (name, text) in [(PLAN, &text), (TEMPLATE, &plan.template)] {
-            let file = stage.folder.join(name);
+            let file = environment.folder.join(name);
             std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
         }
         let epoch = Epoch::starting_in(0.0);
         let recorder = Arc::new(Recorder::new(plan, epoch));
         let (processes, faults) = (HashMap::new(), plan.standing_faults());
-        let mut play = Play { plan, epoch, recorder, stage, processes, usage_at: 0.0, faults };
+        let mut play = Play { plan, epoch, recorder, environment, processes, usage_at: 0.0, faults };
         play.recorder.note(Event::Phase(Phase::Settle));
         for process in 0..plan.processes {
             play.start_hollow(process)?;
@@ -119,13 +120,13 @@
     }
 
     fn start_hollow(&mut self, process: usize) -> Result<(), String> {
-        let mut command = std::process::Command::new(&self.stage.lab);
-        command.arg("hollow").arg("--plan").arg(self.stage.folder.join(PLAN));
+        let mut command = std::process::Command::new(&self.environment.lab);
+        command.arg("hollow").arg("--plan").arg(self.environment.folder.join(PLAN));
         command.arg("--process").arg(process.to_string());
         command.arg("--mono").arg(self.epoch.monotonic_ms.to_string());
         command.arg("--unix").arg(self.epoch.unix_ms.to_string());
         command.stdin(Stdio::piped()).stdout(Stdio::piped());
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", self.stage.lab.display()))?;
+        let mut child = command.spawn().map_err(|e| format!("{}: {e}", self.environment.lab.display()))?;
         let lines = BufReader::new(child.stdout.take().expect("was asked for")).lines();
         let recorder = self.recorder.clone();
         let reader = std::thread::spawn(move || {
@@ -145,7 +146,7 @@
     fn start_real(&mut self, member: Member) -> Result<(), String> {
         let recorder = self.recorder.clone();
         let seen = move |event| recorder.note(event);
-        let Stage { router, folder, .. } = self.stage;
+        let Environment { router, folder, .. } = self.environment;
         let (child, reader) = real::start(router, folder, self.plan, member, seen)?;
         let started = Process { child, input: None, reader: Some(reader) };
         self.processes.insert(ProcessName::Real(member), started);
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -3,9 +3,9 @@
 
 use magpiewell_lab::scale::message::{Event, Phase};
 use magpiewell_lab::scale::plan::{Durations, LOST_ZONE, Member, Plan, Variant};
-use magpiewell_lab::scale::play::{Play, Stage};
 use magpiewell_lab::scale::prove::{CLOCK_AHEAD_MS, TEMPLATE, TEMPLATE_WITHOUT_ZONES};
 use magpiewell_lab::scale::recorder::View;
+use magpiewell_lab::scale::runner::{Environment, Play};
 use magpiewell_lab::tier::runner::default_folder;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -35,8 +35,8 @@
     }
 }
 
-fn stage(name: &str) -> Stage {
-    Stage {
+fn environment(name: &str) -> Environment {
+    Environment {
         router: PathBuf::from(env!("CARGO_BIN_EXE_magpiewell-staged")),
         lab: PathBuf::from(env!("CARGO_BIN_EXE_magpiewell-lab")),
         folder: default_folder(name),
@@ -70,8 +70,8 @@
 
 #[test]
 fn a_lost_zone_is_held_dead_by_all_and_counted_by_all_when_it_is_back() {
-    let (plan, stage) = (plan(24_100), stage("scale-zone"));
-    let mut play = Play::start(&plan, &stage).unwrap();
+    let (plan, environment) = (plan(24_100), environment("scale-zone"));
+    let mut play = Play::start(&plan, &environment).unwrap();
     let recorder = play.recorder.clone();
     assert!(recorder.wait_until(BOUND, |view| real_count(view, &plan, plan.members())), "all are counted");
 
@@ -91,7 +91,7 @@
     assert!(recorder.wait_until(BOUND, |view| real_count(view, &plan, all)), "real routers count all again");
     play.check_running().unwrap();
     drop(play);
-    std::fs::remove_dir_all(&stage.folder).unwrap();
+    std::fs::remove_dir_all(&environment.folder).unwrap();
 }
 
 /// The control: where no datagram gets to another zone, a new primary stays unknown there, and routers that don't
@@ -100,8 +100,8 @@
 fn the_control_is_seen_to_fail_where_zones_cannot_reach_each_other() {
     let template = TEMPLATE_WITHOUT_ZONES.into();
     let plan = Plan { variant: Variant::ZonesMute, template, ..plan(24_200) };
-    let stage = stage("scale-control");
-    let mut play = Play::start(&plan, &stage).unwrap();
+    let environment = environment("scale-control");
+    let mut play = Play::start(&plan, &environment).unwrap();
     let recorder = play.recorder.clone();
     play.change_all_primaries().unwrap();
     let observers: Vec<Member> = plan.primary_changes().iter().map(|change| change.observer).collect();
@@ -118,7 +118,7 @@
     let live_held_dead = |view: &View| view.live_pairs().share() > Some(HELD_DEAD);
     assert!(recorder.wait_until(BOUND, live_held_dead), "live members are held dead");
     drop(play);
-    std::fs::remove_dir_all(&stage.folder).unwrap();
+    std::fs::remove_dir_all(&environment.folder).unwrap();
 }
 
 #[test]
