--- a/crates/lab/src/capacity/clients.rs
+++ b/crates/lab/src/capacity/clients.rs
@@ -53,15 +53,17 @@
     let databases = Databases::start()?;
     let known = setup::whole_list(1, HOSTS, databases.port);
     let nowhere = "127.0.0.1:1".parse().map_err(|_| "no address")?;
-    let process = Process::launch(router, &setup::configuration(&AMPLE, nowhere, Some(&known)))?;
-    let before = process.used();
-    let open =
-        |number| ready::open(process.at, PATIENCE).map_err(|e| format!("client {number} of {clients}: {e}"));
+    let process =
+        Process::start_with_configuration(router, &setup::configuration(&AMPLE, nowhere, Some(&known)))?;
+    let before = process.processor_time_ms();
+    let open = |number| {
+        ready::open(process.addr, PATIENCE).map_err(|e| format!("client {number} of {clients}: {e}"))
+    };
     let mut kept: Vec<Client> = (0..clients).map(open).collect::<Result<_, _>>()?;
-    let open_ms = (process.used() - before) / clients.max(1) as f64;
+    let open_ms = (process.processor_time_ms() - before) / clients.max(1) as f64;
     std::thread::sleep(Duration::from_millis(200));
     let core_percent = measure::core_percent(&process, windows);
-    let (threads, memory_mb) = process.size();
+    let (threads, memory_mb) = process.thread_count_and_memory_mb();
     let closed = kept.iter_mut().map(|client| usize::from(client.is_closed())).sum();
     let open_ms = if clients > 0 { open_ms } else { 0.0 };
     Ok(ClientsRow { clients, threads, memory_mb, core_percent, closed, open_ms })
--- a/crates/lab/src/capacity/configuration.rs
+++ b/crates/lab/src/capacity/configuration.rs
@@ -50,24 +50,25 @@
     let agent = ListAgent::start(hosts, databases.port)?;
     let known = setup::whole_list(1, hosts, databases.port);
     let configuration = setup::configuration(&AMPLE, agent.at, Some(&known));
-    let process = Process::launch(router, &configuration)?;
-    process.log().wait_for("ready with the list", 0, PATIENCE).ok_or("the router did not get ready")?;
+    let process = Process::start_with_configuration(router, &configuration)?;
+    process.log().wait_for_line("ready with the list", 0, PATIENCE).ok_or("the router did not get ready")?;
     std::thread::sleep(Duration::from_millis(500));
-    let (used, began) = (process::used_with_ended_threads(process.pid()), Instant::now());
+    let (used, began) = (process::processor_time_ms_with_ended_threads(process.pid()), Instant::now());
     let mut in_force_ms = Vec::new();
     for _ in 0..reloads {
-        let (from, written) = (process.log().count(), Instant::now());
+        let (from, written) = (process.log().line_count(), Instant::now());
         process.reload(&configuration)?;
-        let line = process.log().wait_for("configuration read anew", from, PATIENCE);
+        let line = process.log().wait_for_line("configuration read anew", from, PATIENCE);
         let line = line.ok_or("a configuration was not read anew")?;
-        in_force_ms.push(line.at.saturating_duration_since(written).as_secs_f64() * 1e3);
+        in_force_ms.push(line.received_at.saturating_duration_since(written).as_secs_f64() * 1e3);
     }
-    let (spent, used) = (began.elapsed(), process::used_with_ended_threads(process.pid()) - used);
+    let (spent, used) =
+        (began.elapsed(), process::processor_time_ms_with_ended_threads(process.pid()) - used);
     // What the router uses in so much time without reloads is not theirs.
-    let quiet = process.used();
+    let quiet = process.processor_time_ms();
     std::thread::sleep(spent);
-    let quiet = process.used() - quiet;
+    let quiet = process.processor_time_ms() - quiet;
     let used_ms = (used - quiet).max(0.0) / reloads.max(1) as f64;
-    let (in_force_ms, memory_mb) = (Spread::of(&in_force_ms), process.size().1);
+    let (in_force_ms, memory_mb) = (Spread::of(&in_force_ms), process.thread_count_and_memory_mb().1);
     Ok(ConfigurationRow { hosts, file_bytes: configuration.len(), reloads, in_force_ms, used_ms, memory_mb })
 }
--- a/crates/lab/src/capacity/hosts.rs
+++ b/crates/lab/src/capacity/hosts.rs
@@ -7,7 +7,7 @@
 use super::measure::{self, Seen, Windows};
 use super::setup::{self, AMPLE};
 use super::table::Row;
-use crate::process::{Grant, Process};
+use crate::process::{Process, ResourceLimits};
 use std::path::Path;
 use std::time::Duration;
 
@@ -101,9 +101,10 @@
     let databases = Databases::start()?;
     let agent = ListAgent::start(case.hosts, databases.port)?;
     let known = setup::whole_list(1, case.hosts, databases.port);
-    let grant = Grant { cores: AMPLE.cores, memory_mb: case.memory_mb, sockets: case.sockets };
-    let process = Process::launch(router, &setup::configuration(&grant, agent.at, Some(&known)))?;
-    let ready = process.log().wait_for("ready with the list", 0, READY_PATIENCE);
+    let grant = ResourceLimits { cores: AMPLE.cores, memory_mb: case.memory_mb, sockets: case.sockets };
+    let process =
+        Process::start_with_configuration(router, &setup::configuration(&grant, agent.at, Some(&known)))?;
+    let ready = process.log().wait_for_line("ready with the list", 0, READY_PATIENCE);
     ready.ok_or_else(|| format!("{} hosts: the router did not get ready", case.hosts))?;
     let row = |phase, seen, answers| HostsRow { case, phase, list_bytes: known.len(), seen, answers };
 
@@ -112,7 +113,7 @@
     let quiet = row(Phase::Quiet, measure::look(&process, &databases, times.quiet), Answers::default());
     let (a_second, groups) = (case.reads_a_second, setup::groups(case.hosts));
     let rate = Rate { a_second, groups, clients: load::clients_for(a_second), seed };
-    let load = Load::start(process.at, rate)?;
+    let load = Load::start(process.addr, rate)?;
     std::thread::sleep(times.warm_up);
     let is_served = || load.answers().acked > 0;
     let seen = measure::look_under_load(&process, &databases, times.reads, is_served);
--- a/crates/lab/src/capacity/list.rs
+++ b/crates/lab/src/capacity/list.rs
@@ -6,7 +6,7 @@
 use super::ready;
 use super::setup::{self, AMPLE};
 use super::table::Row;
-use crate::process::{Grant, Process};
+use crate::process::{Process, ResourceLimits};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -75,13 +75,13 @@
 ) -> Result<ListRow, String> {
     let databases = Databases::start()?;
     let agent = ListAgent::start(hosts, databases.port)?;
-    let grant = Grant { cores: AMPLE.cores, memory_mb, sockets: AMPLE.sockets };
-    let process = Process::launch(router, &setup::configuration(&grant, agent.at, None))?;
+    let grant = ResourceLimits { cores: AMPLE.cores, memory_mb, sockets: AMPLE.sockets };
+    let process = Process::start_with_configuration(router, &setup::configuration(&grant, agent.at, None))?;
     let ready = ready::wait(&process, PATIENCE).map_err(|why| format!("{hosts} hosts: {why}"))?;
-    let ready_used_ms = process.used();
+    let ready_used_ms = process.processor_time_ms();
     std::thread::sleep(Duration::from_millis(500));
 
-    let (used, served) = (process.used(), agent.served());
+    let (used, served) = (process.processor_time_ms(), agent.served());
     let taken = |change: usize| {
         let told = Instant::now();
         let version = agent.change(change * 7 % hosts);
@@ -90,7 +90,7 @@
     };
     let change_ms: Vec<f64> = (0..changes).map(taken).collect::<Result<_, String>>()?;
     std::thread::sleep(Duration::from_millis(100));
-    let change_used_ms = (process.used() - used) / changes.max(1) as f64;
+    let change_used_ms = (process.processor_time_ms() - used) / changes.max(1) as f64;
     let change_bytes = (agent.served().bytes_out - served.bytes_out) as f64 / changes.max(1) as f64;
 
     let (served, began) = (agent.served(), Instant::now());
@@ -101,9 +101,9 @@
         hosts,
         memory_granted_mb: memory_mb,
         list_bytes: agent.list_bytes(),
-        ready_ms: ready.duration_since(process.started()).as_secs_f64() * 1e3,
+        ready_ms: ready.duration_since(process.started_at()).as_secs_f64() * 1e3,
         ready_used_ms,
-        memory_mb: process.size().1,
+        memory_mb: process.thread_count_and_memory_mb().1,
         change_ms: Spread::of(&change_ms),
         change_used_ms,
         change_bytes,
@@ -131,9 +131,9 @@
 fn first_failure(router: &Path, hosts: usize, memory_mb: usize) -> Result<String, String> {
     let databases = Databases::start()?;
     let agent = ListAgent::start(hosts, databases.port)?;
-    let grant = Grant { cores: AMPLE.cores, memory_mb, sockets: AMPLE.sockets };
-    let process = Process::launch(router, &setup::configuration(&grant, agent.at, None))?;
-    let line = process.log().wait_for("list failed", 0, PATIENCE);
+    let grant = ResourceLimits { cores: AMPLE.cores, memory_mb, sockets: AMPLE.sockets };
+    let process = Process::start_with_configuration(router, &setup::configuration(&grant, agent.at, None))?;
+    let line = process.log().wait_for_line("list failed", 0, PATIENCE);
     let line = line.ok_or_else(|| format!("{hosts} hosts at {memory_mb} MB: nothing was refused"))?;
     // The reason is the first field behind the message.
     Ok(line.text.split_once("list failed").map_or(line.text.clone(), |(_, why)| why.trim().to_string()))
--- a/crates/lab/src/capacity/load.rs
+++ b/crates/lab/src/capacity/load.rs
@@ -142,7 +142,7 @@
             let group = u64::from(self.chance.next_u32() % self.groups.max(1));
             bounded = !bounded;
             let op_type = if bounded { "near" } else { "look" };
-            match self.client.read_as(op_type, group, WAIT_MS) {
+            match self.client.read_with_op_type(op_type, group, WAIT_MS) {
                 Ok(Answer::Acked) => self.counts.acked.fetch_add(1, Relaxed),
                 Ok(Answer::Busy(_)) => self.counts.refused.fetch_add(1, Relaxed),
                 Ok(Answer::Errored) => self.counts.errored.fetch_add(1, Relaxed),
--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -61,7 +61,7 @@
     let core = core_percent(process, windows);
     let (last, spent) = (databases.counted(), began.elapsed().as_secs_f64());
     let rate = |count: fn(&Counted) -> u64| (count(&last) - count(&first)) as f64 / spent;
-    let (threads, memory_mb) = process.size();
+    let (threads, memory_mb) = process.thread_count_and_memory_mb();
     Seen {
         core_percent: core,
         opened: rate(|c| c.accepted),
@@ -106,12 +106,12 @@
 /// Processor time alone, in percent of a core; a stall of the machine is told on standard error.
 pub fn core_percent(process: &Process, windows: Windows) -> Spread {
     let window = |_| {
-        let (used, began) = (process.used(), Instant::now());
+        let (used, began) = (process.processor_time_ms(), Instant::now());
         let stalled = sleep_through(Duration::from_secs_f64(windows.seconds));
         if stalled > Duration::ZERO {
             eprintln!("the machine stood still for {:.1} s: this window tells little", stalled.as_secs_f64());
         }
-        (process.used() - used) / began.elapsed().as_secs_f64() / 10.0
+        (process.processor_time_ms() - used) / began.elapsed().as_secs_f64() / 10.0
     };
     Spread::of(&(0..windows.count).map(window).collect::<Vec<_>>())
 }
--- a/crates/lab/src/capacity/outage.rs
+++ b/crates/lab/src/capacity/outage.rs
@@ -85,12 +85,13 @@
     let databases = Databases::start()?;
     let agent = ListAgent::start(case.hosts, databases.port)?;
     let known = setup::whole_list(1, case.hosts, databases.port);
-    let process = Process::launch(router, &setup::configuration(&AMPLE, agent.at, Some(&known)))?;
-    let ready = process.log().wait_for("ready with the list", 0, READY_PATIENCE);
+    let process =
+        Process::start_with_configuration(router, &setup::configuration(&AMPLE, agent.at, Some(&known)))?;
+    let ready = process.log().wait_for_line("ready with the list", 0, READY_PATIENCE);
     ready.ok_or_else(|| format!("{} hosts: the router did not get ready", case.hosts))?;
     let (a_second, groups) = (case.reads_a_second, setup::groups(case.hosts));
     let rate = Rate { a_second, groups, clients: case.clients, seed };
-    let load = Load::start(process.at, rate)?;
+    let load = Load::start(process.addr, rate)?;
     std::thread::sleep(warm_up);
 
     let zones: Vec<usize> = (0..case.zones.min(setup::ZONES)).collect();
--- a/crates/lab/src/capacity/ready.rs
+++ b/crates/lab/src/capacity/ready.rs
@@ -24,12 +24,12 @@
 /// Asks until the router is ready; tells when it was.
 pub fn wait(process: &Process, patience: Duration) -> Result<Instant, String> {
     let until = Instant::now() + patience;
-    let mut client = open(process.at, patience)?;
+    let mut client = open(process.addr, patience)?;
     while Instant::now() < until {
         match client.is_ready() {
             Ok(true) => return Ok(Instant::now()),
             Ok(false) => std::thread::sleep(GAP),
-            Err(_) => client = open(process.at, patience)?,
+            Err(_) => client = open(process.addr, patience)?,
         }
     }
     Err("the router did not get ready".into())
--- a/crates/lab/src/capacity/restart.rs
+++ b/crates/lab/src/capacity/restart.rs
@@ -51,11 +51,11 @@
     let configuration = setup::configuration(&AMPLE, agent.at, Some(&known));
     let (mut ready_ms, mut used_ms, mut memory_mb) = (Vec::new(), Vec::new(), 0.0);
     for _ in 0..starts {
-        let process = Process::launch(router, &configuration)?;
+        let process = Process::start_with_configuration(router, &configuration)?;
         let ready = ready::wait(&process, PATIENCE)?;
-        used_ms.push(process.used());
-        ready_ms.push(ready.duration_since(process.started()).as_secs_f64() * 1e3);
-        memory_mb = process.size().1;
+        used_ms.push(process.processor_time_ms());
+        ready_ms.push(ready.duration_since(process.started_at()).as_secs_f64() * 1e3);
+        memory_mb = process.thread_count_and_memory_mb().1;
     }
     let (ready_ms, used_ms) = (Spread::of(&ready_ms), Spread::of(&used_ms));
     Ok(RestartRow { hosts, starts, file_bytes: configuration.len(), ready_ms, used_ms, memory_mb })
--- a/crates/lab/src/capacity/setup.rs
+++ b/crates/lab/src/capacity/setup.rs
@@ -1,6 +1,6 @@
 //! What a router under measurement is configured with, and the list of hosts in its own form.
 
-use crate::process::Grant;
+use crate::process::ResourceLimits;
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -85,8 +85,8 @@
 }
 
 /// A router's configuration: any reads, and reads with a bound on how old their data may be.
-pub fn configuration(grant: &Grant, list_at: SocketAddr, known: Option<&str>) -> String {
-    let Grant { cores, memory_mb, sockets } = grant;
+pub fn configuration(grant: &ResourceLimits, list_at: SocketAddr, known: Option<&str>) -> String {
+    let ResourceLimits { cores, memory_mb, sockets } = grant;
     let known = known.map(|list| format!("\"known\":{list},")).unwrap_or_default();
     format!(
         r#"{{"name":"lab","listen":"127.0.0.1:0","discovery":"{list_at}","seed":"1",
@@ -103,4 +103,4 @@
 }
 
 /// A grant that binds nowhere: what is measured is the program, not its limits.
-pub const AMPLE: Grant = Grant { cores: 8.0, memory_mb: 8_192, sockets: 200_000 };
+pub const AMPLE: ResourceLimits = ResourceLimits { cores: 8.0, memory_mb: 8_192, sockets: 200_000 };
--- a/crates/lab/src/capacity/statements.rs
+++ b/crates/lab/src/capacity/statements.rs
@@ -61,9 +61,10 @@
     let hosts = groups * setup::GROUP_SIZE;
     let agent = ListAgent::start(hosts, databases.port)?;
     let known = setup::whole_list(1, hosts, databases.port);
-    let process = Process::launch(router, &setup::configuration(&AMPLE, agent.at, Some(&known)))?;
+    let process =
+        Process::start_with_configuration(router, &setup::configuration(&AMPLE, agent.at, Some(&known)))?;
     let rate = Rate { a_second, groups, clients: load::clients_for(a_second), seed };
-    let load = Load::start(process.at, rate)?;
+    let load = Load::start(process.addr, rate)?;
     std::thread::sleep(Duration::from_secs(2));
     let is_served = || load.answers().acked > 0;
     let seen = measure::look_under_load(&process, &databases, windows, is_served);
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -35,7 +35,7 @@
         let mut opening = Vec::new();
         encode::startup_message(&mut opening, "svc", "main");
         client.stream.write_all(&opening)?;
-        client.answer()?;
+        client.read_answer()?;
         Ok(client)
     }
 
@@ -53,10 +53,10 @@
     /// Whether the router says that it knows a list of hosts: it answers an empty query without an error.
     pub fn is_ready(&mut self) -> Result<bool> {
         self.stream.write_all(&[&encode::query_header(0)[..], &[0]].concat())?;
-        Ok(self.answer()? == Answer::Acked)
+        Ok(self.read_answer()? == Answer::Acked)
     }
 
-    pub fn answer(&mut self) -> Result<Answer> {
+    pub fn read_answer(&mut self) -> Result<Answer> {
         let mut answer = Answer::Acked;
         let mut chunk = [0; 2048];
         loop {
@@ -84,17 +84,17 @@
 
     /// A read that may wait so many ms; `group` is the one the lab's hosts are in, unless another is wanted.
     pub fn read(&mut self, group: u64, wait: u64) -> Result<Answer> {
-        self.read_as("look", group, wait)
+        self.read_with_op_type("look", group, wait)
     }
 
     /// The same as an op of another type.
-    pub fn read_as(&mut self, op_type: &str, group: u64, wait: u64) -> Result<Answer> {
+    pub fn read_with_op_type(&mut self, op_type: &str, group: u64, wait: u64) -> Result<Answer> {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let id = NEXT.fetch_add(1, Relaxed);
         let facts = format!("id={id:016x},c={op_type},t=acme,d={wait},cluster={group}");
         let text = format!("SELECT v FROM records WHERE k = 'k{id}' /* {facts} */");
         let head = encode::query_header(text.len());
         self.stream.write_all(&[&head[..], text.as_bytes(), &[0]].concat())?;
-        self.answer()
+        self.read_answer()
     }
 }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::client::Client;
 use crate::host;
-use crate::process::{Grant, Process};
+use crate::process::{Process, ResourceLimits};
 use std::path::Path;
 use std::time::Instant;
 
@@ -10,10 +10,10 @@
 pub fn show(router: &Path) -> Result<bool, String> {
     let host = host::start().map_err(|e| e.to_string())?;
     println!("a stand-in db host listens at {host}");
-    let grant = Grant { cores: 1.0, memory_mb: 192, sockets: 1_024 };
+    let grant = ResourceLimits { cores: 1.0, memory_mb: 192, sockets: 1_024 };
     let process = Process::start(router, host, &grant)?;
-    println!("a router listens at {}", process.at);
-    let mut client = Client::open(process.at).map_err(|e| e.to_string())?;
+    println!("a router listens at {}", process.addr);
+    let mut client = Client::open(process.addr).map_err(|e| e.to_string())?;
     let mut served = 0;
     for n in 1..=5 {
         let began = Instant::now();
@@ -23,7 +23,7 @@
     }
     let unknown = client.read(99, 1_000).map_err(|e| e.to_string())?;
     println!("a read for a group that no list has named: {unknown:?}, harmless to try again");
-    let (threads, memory) = process.size();
+    let (threads, memory) = process.thread_count_and_memory_mb();
     println!("{served} of 5 served; the router has {threads} threads and {memory:.1} MB");
     Ok(served == 5)
 }
--- a/crates/lab/src/limit.rs
+++ b/crates/lab/src/limit.rs
@@ -4,7 +4,7 @@
 
 use crate::client::{Answer, Client};
 use crate::host;
-use crate::process::{Grant, Process};
+use crate::process::{Process, ResourceLimits};
 use crate::throttle::{How, Throttle};
 use hdrhistogram::Histogram;
 use rand_chacha::ChaCha8Rng;
@@ -47,21 +47,21 @@
     let mut counts = vec![0, 100, 250, 700, 1_000, 1_500, 10_000];
     counts.retain(|count| *count <= most);
     for count in counts {
-        let grant = Grant { cores: 8.0, memory_mb: 8_192, sockets: 200_000 };
+        let grant = ResourceLimits { cores: 8.0, memory_mb: 8_192, sockets: 200_000 };
         let process = Process::start(router, host, &grant)?;
-        let open = |_| Client::open(process.at).map_err(|e| format!("{count} idle clients: {e}"));
+        let open = |_| Client::open(process.addr).map_err(|e| format!("{count} idle clients: {e}"));
         let kept: Vec<Client> = (0..count).map(open).collect::<Result<_, _>>()?;
         let part = |seconds: f64| {
-            let before = process.used();
+            let before = process.processor_time_ms();
             std::thread::sleep(Duration::from_secs_f64(seconds));
-            (process.used() - before) / (seconds * 1000.0)
+            (process.processor_time_ms() - before) / (seconds * 1000.0)
         };
         part(0.2);
         let alone = part(2.0);
         let throttle = Throttle::start(process.pid(), How::Beat);
         let stopped = part(2.0);
         let stops = throttle.end() / 2;
-        let (threads, memory) = process.size();
+        let (threads, memory) = process.thread_count_and_memory_mb();
         println!("{count} | {threads} | {memory:.1} | {alone:.3} | {stopped:.3} | {stops}");
         drop(kept);
     }
@@ -70,27 +70,27 @@
 
 /// Processor time of each kind of work, in ms, by itself and not throttled.
 fn costs(router: &Path, host: SocketAddr) -> Result<(), String> {
-    let grant = Grant { cores: 8.0, memory_mb: 8_192, sockets: 20_000 };
+    let grant = ResourceLimits { cores: 8.0, memory_mb: 8_192, sockets: 20_000 };
     let process = Process::start(router, host, &grant)?;
     let each = |name: &str, count: usize, work: &(dyn Fn() -> std::io::Result<()> + Sync)| {
-        let before = process.used();
+        let before = process.processor_time_ms();
         std::thread::scope(|scope| {
             for _ in 0..4 {
                 scope.spawn(|| (0..count / 4).try_for_each(|_| work()));
             }
         });
-        println!("{name}: {:.4} ms of processor time", (process.used() - before) / count as f64);
+        println!("{name}: {:.4} ms of processor time", (process.processor_time_ms() - before) / count as f64);
     };
     let pool: Vec<Mutex<Client>> =
-        (0..4).filter_map(|_| Client::open(process.at).ok()).map(Mutex::new).collect();
+        (0..4).filter_map(|_| Client::open(process.addr).ok()).map(Mutex::new).collect();
     let ask = |group: u64| {
         let free = pool.iter().find_map(|client| client.try_lock().ok());
         free.map_or(Ok(()), |mut client| client.read(group, WAIT).map(drop))
     };
     each("an op carried", 8_000, &|| ask(GROUP));
     each("an op refused", 8_000, &|| ask(GROUP + 1));
-    each("a connection opened, and closed", 4_000, &|| Client::open(process.at).map(drop));
-    each("a connection closed unopened", 4_000, &|| Client::connect(process.at).map(drop));
+    each("a connection opened, and closed", 4_000, &|| Client::open(process.addr).map(drop));
+    each("a connection closed unopened", 4_000, &|| Client::connect(process.addr).map(drop));
     Ok(())
 }
 
@@ -183,7 +183,8 @@
 fn beyond(router: &Path, host: SocketAddr, seed: u64, untold: bool) -> Result<bool, String> {
     let told = if untold { 8.0 } else { CORES };
     let fresh = || {
-        let process = Process::start(router, host, &Grant { cores: told, memory_mb: 192, sockets: 4_096 })?;
+        let process =
+            Process::start(router, host, &ResourceLimits { cores: told, memory_mb: 192, sockets: 4_096 })?;
         let throttle = Throttle::start(process.pid(), How::Cores(CORES));
         Ok::<_, String>((process, throttle))
     };
@@ -192,13 +193,13 @@
     );
     let measure = |clients: usize, obeys: bool| {
         let (process, throttle) = fresh()?;
-        let load = Load::start(process.at, clients, seed, obeys);
+        let load = Load::start(process.addr, clients, seed, obeys);
         std::thread::sleep(Duration::from_secs(3));
         let (before, busy) = (load.acked(), load.seen.busy.load(Relaxed));
-        let used = process.used();
+        let used = process.processor_time_ms();
         std::thread::sleep(Duration::from_secs(4));
         let (acked, busy) = (load.acked() - before, load.seen.busy.load(Relaxed) - busy);
-        let used = (process.used() - used) / 4_000.0;
+        let used = (process.processor_time_ms() - used) / 4_000.0;
         let (seen, waits) = load.end();
         let unanswered = seen.unanswered.load(Relaxed);
         let at = |part| waits.value_at_quantile(part) as f64 / 1000.0;
@@ -231,7 +232,7 @@
     let peak = peak.max(twice).max(four);
     // Half the load, a trigger of five seconds, and what comes after it.
     let (process, throttle) = fresh()?;
-    let load = Load::start(process.at, carried / 2, seed, true);
+    let load = Load::start(process.addr, carried / 2, seed, true);
     std::thread::sleep(Duration::from_secs(3));
     let rate = |seconds: f64| {
         let before = load.acked();
@@ -239,7 +240,7 @@
         (load.acked() - before) as f64 / seconds
     };
     let before = rate(4.0);
-    let trigger = Load::start(process.at, 4 * carried, seed + 1, false);
+    let trigger = Load::start(process.addr, 4 * carried, seed + 1, false);
     let during = rate(5.0);
     drop(trigger.end());
     // What the trigger's clients left behind and the first second, which is granted.
--- a/crates/lab/src/log.rs
+++ b/crates/lab/src/log.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Line {
-    pub at: Instant,
+    pub received_at: Instant,
     pub text: String,
 }
 
@@ -32,7 +32,7 @@
     pub fn push(&self, text: String) {
         let mut present = self.present();
         if present.lines.len() < MOST_LINES {
-            present.lines.push(Line { at: Instant::now(), text });
+            present.lines.push(Line { received_at: Instant::now(), text });
         }
         self.came.notify_all();
     }
@@ -44,13 +44,13 @@
     }
 
     /// How many lines have come.
-    pub fn count(&self) -> usize {
+    pub fn line_count(&self) -> usize {
         self.present().lines.len()
     }
 
     /// The first line from number `from` on that contains this, waited for; none where none came in time, or
     /// the log has ended.
-    pub fn wait_for(&self, part: &str, from: usize, patience: Duration) -> Option<Line> {
+    pub fn wait_for_line(&self, part: &str, from: usize, patience: Duration) -> Option<Line> {
         let until = Instant::now() + patience;
         let mut present = self.present();
         loop {
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -21,11 +21,11 @@
     file: PathBuf,
     log: Arc<Log>,
     started: Instant,
-    pub at: SocketAddr,
+    pub addr: SocketAddr,
 }
 
 /// What a router is given.
-pub struct Grant {
+pub struct ResourceLimits {
     pub cores: f64,
     pub memory_mb: usize,
     pub sockets: usize,
@@ -33,8 +33,8 @@
 
 impl Process {
     /// Starts a router before one host, and waits until it listens.
-    pub fn start(program: &Path, host: SocketAddr, grant: &Grant) -> Result<Process, String> {
-        let Grant { cores, memory_mb, sockets } = grant;
+    pub fn start(program: &Path, host: SocketAddr, grant: &ResourceLimits) -> Result<Process, String> {
+        let ResourceLimits { cores, memory_mb, sockets } = grant;
         let text = format!(
             r#"{{"name":"lab","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
             "limits":{{"cores":{cores},"memory_mb":{memory_mb},"sockets":{sockets}}},
@@ -46,11 +46,11 @@
             "limits":{{"max_attempts":2,"may_cancel":true,"retry_after":true,"max_retry_after_s":2}},
             "rules":{{"cold_from":0.2,"cold_s":10,"drain_grace_s":0.5,"fall_multiple":2.5,"fall_s":2}}}}}}"#
         );
-        Process::launch(program, &text)
+        Process::start_with_configuration(program, &text)
     }
 
     /// Starts a router with this configuration, and waits until it listens.
-    pub fn launch(program: &Path, configuration: &str) -> Result<Process, String> {
+    pub fn start_with_configuration(program: &Path, configuration: &str) -> Result<Process, String> {
         static COUNT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let count = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let file = std::env::temp_dir().join(format!("magpiewell-lab-{}-{count}.json", std::process::id()));
@@ -69,14 +69,14 @@
             kept.end();
         });
         let unbound = SocketAddr::from(([0, 0, 0, 0], 0));
-        let mut process = Process { child, file, log, started, at: unbound };
-        process.at = process.listens()?;
+        let mut process = Process { child, file, log, started, addr: unbound };
+        process.addr = process.listens()?;
         Ok(process)
     }
 
     /// The address that the log names.
     fn listens(&self) -> Result<SocketAddr, String> {
-        let line = self.log.wait_for("listen=", 0, START_PATIENCE).ok_or("the router did not start")?;
+        let line = self.log.wait_for_line("listen=", 0, START_PATIENCE).ok_or("the router did not start")?;
         let address = line.text.split("listen=").nth(1).and_then(|rest| rest.split(' ').next());
         address.and_then(|a| a.parse().ok()).ok_or_else(|| format!("no address in: {}", line.text))
     }
@@ -86,7 +86,7 @@
     }
 
     /// When the program was started.
-    pub fn started(&self) -> Instant {
+    pub fn started_at(&self) -> Instant {
         self.started
     }
 
@@ -101,12 +101,12 @@
     }
 
     /// Processor time used so far, in ms.
-    pub fn used(&self) -> f64 {
-        used(self.pid())
+    pub fn processor_time_ms(&self) -> f64 {
+        processor_time_ms(self.pid())
     }
 
     /// Threads, and resident memory in MB.
-    pub fn size(&self) -> (usize, f64) {
+    pub fn thread_count_and_memory_mb(&self) -> (usize, f64) {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).unwrap_or_default();
         let value = |key: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(key)).unwrap_or("0");
@@ -136,7 +136,7 @@
 
 /// Processor time of a whole process, in ms, threads that have ended included; in steps of a clock tick (10
 /// ms).
-pub fn used_with_ended_threads(pid: u32) -> f64 {
+pub fn processor_time_ms_with_ended_threads(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     // The program's name stands in brackets and may hold blanks; user and system time are the 14th and 15th
     // field.
@@ -146,7 +146,7 @@
 }
 
 /// Processor time of all threads of a process, in ms.
-pub fn used(pid: u32) -> f64 {
+pub fn processor_time_ms(pid: u32) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let of = |task: std::fs::DirEntry| {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -230,7 +230,7 @@
     fn note_usage(&mut self) {
         for (name, process) in &self.processes {
             let pid = process.child.id();
-            let (processor_ms, memory_mb) = (crate::process::used(pid), resident_mb(pid));
+            let (processor_ms, memory_mb) = (crate::process::processor_time_ms(pid), resident_mb(pid));
             self.recorder.note(Event::Usage { process: *name, processor_ms, memory_mb });
         }
     }
--- a/crates/lab/src/throttle.rs
+++ b/crates/lab/src/throttle.rs
@@ -1,7 +1,7 @@
 //! Keeps a process to a part of a core by stopping and continuing it, as platforms without privileges do, or stops
 //! it at a steady beat to see what a stop costs.
 
-use crate::process::used;
+use crate::process::processor_time_ms;
 use rustix::process::{Pid, Signal, kill_process};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -50,13 +50,13 @@
 fn keep(pid: u32, how: How, over: &AtomicBool) -> u32 {
     let Some(of) = i32::try_from(pid).ok().and_then(Pid::from_raw) else { return 0 };
     let (mut stopped, mut stops) = (false, 0);
-    let (mut left, mut at, mut before) = (0.0, Instant::now(), used(pid));
+    let (mut left, mut at, mut before) = (0.0, Instant::now(), processor_time_ms(pid));
     while !over.load(Relaxed) {
         std::thread::sleep(LOOK);
         let stop = match how {
             How::Beat => !stopped,
             How::Cores(cores) => {
-                let now = used(pid);
+                let now = processor_time_ms(pid);
                 let granted = at.elapsed().as_secs_f64() * 1000.0 * cores;
                 left = f64::min(left + granted - (now - before), 100.0 * cores);
                 (at, before) = (Instant::now(), now);
--- a/crates/lab/src/tier/runner.rs
+++ b/crates/lab/src/tier/runner.rs
@@ -236,7 +236,9 @@
     }
 
     fn processor_times(&self) -> Vec<f64> {
-        let of = |r: usize| self.processes.get(&r).map_or(0.0, |p| crate::process::used(p.child.id()));
+        let of = |r: usize| {
+            self.processes.get(&r).map_or(0.0, |p| crate::process::processor_time_ms(p.child.id()))
+        };
         (0..self.plan.script.routers).map(of).collect()
     }
 
