--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -76,7 +76,7 @@
     let mut plan = scenario::plan(play.routers, seed, threads, !play.without_zone_evidence);
     plan.limits.urgent_per_second = play.urgent_per_second.unwrap_or(plan.limits.urgent_per_second);
     plan.limits.pull_facts &= !play.without_pull;
-    plan.limits.pull_period = play.pull_period.unwrap_or(plan.limits.pull_period);
+    plan.limits.pull_period_ms = play.pull_period.unwrap_or(plan.limits.pull_period_ms);
     plan.limits.urgent_burst = play.urgent_burst.unwrap_or(plan.limits.urgent_burst);
     let faults = Faults { loss: play.loss, wrong_clocks: play.wrong_clocks };
     let outcome = scenario::play(plan, play.scenario, faults, play.until)?;
--- a/crates/fleet/src/router.rs
+++ b/crates/fleet/src/router.rs
@@ -35,9 +35,9 @@
         limits: Limits,
     ) -> Result<Router, RosterError> {
         let Identity { number, roster, zone, seed } = identity;
-        let started = (now + clock_offset) as u64;
+        let started_at = (now + clock_offset) as u64;
         let identity =
-            magpiewell_tier::Identity { local: number, roster_size: roster, zone: Some(zone), started };
+            magpiewell_tier::Identity { local: number, roster_size: roster, zone: Some(zone), started_at };
         let tier = Tier::new(identity, seed, Some(Key::new(SECRET)), limits)?;
         Ok(Router { tier, clock_offset })
     }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -73,7 +73,7 @@
         let key = terms.key.as_deref().map(Key::new);
         let seed = plan.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(member)) ^ now as u64;
         let limits = magpiewell_router::tier::limits(terms, Duration::from_secs_f64(TICK_MS / 1e3));
-        let identity = Identity { local: member, roster_size: members, zone, started: now as u64 };
+        let identity = Identity { local: member, roster_size: members, zone, started_at: now as u64 };
         let tier = Tier::new(identity, seed, key, limits).map_err(|error| error.to_string())?;
         Ok(HollowRouter { member, tier, counted: vec![true; members] })
     }
--- a/crates/lab/src/scale/hollow_process.rs
+++ b/crates/lab/src/scale/hollow_process.rs
@@ -19,7 +19,7 @@
 const THREADS: usize = 2;
 /// How often totals are reported, in ms.
 const REPORT_MS: f64 = 1_000.0;
-const LONGEST_DATAGRAM: usize = 2 * magpiewell_peers::MAX_DATAGRAM;
+const LONGEST_DATAGRAM: usize = 2 * magpiewell_peers::MAX_DATAGRAM_BYTES;
 /// Chance for the faults of a process' threads begins here, beyond that of the plan itself.
 const CHANCE_OF_FAULTS: u64 = 1_000;
 
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -4,7 +4,7 @@
 use crate::key::HASH_LENGTH;
 
 /// The longest datagram, in bytes.
-pub const MAX_DATAGRAM: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// A byte that marks the protocol, and its version.
 pub(crate) const MARK: [u8; 2] = [0x4d, 1];
@@ -28,7 +28,7 @@
 
 /// How many entries fit behind a header, with room for the hash.
 pub(crate) const fn max_entries(header_length: usize, entry_length: usize) -> usize {
-    (MAX_DATAGRAM - header_length - HASH_LENGTH) / entry_length
+    (MAX_DATAGRAM_BYTES - header_length - HASH_LENGTH) / entry_length
 }
 
 /// Begins a datagram of this kind, with no entries yet.
@@ -57,7 +57,7 @@
     let hash_length = if key.is_some() { HASH_LENGTH } else { 0 };
     let body_length = bytes.len().checked_sub(hash_length).ok_or(DecodeError::Length)?;
     let (body, hash) = bytes.split_at(body_length);
-    if body.len() < header_length || bytes.len() > MAX_DATAGRAM {
+    if body.len() < header_length || bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::Length);
     }
     if body[..MARK.len()] != MARK {
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod session;
 pub mod tier;
 
-pub use frame::{DecodeError, MAX_DATAGRAM};
+pub use frame::{DecodeError, MAX_DATAGRAM_BYTES};
 pub use key::Key;
--- a/crates/peers/src/session/tests.rs
+++ b/crates/peers/src/session/tests.rs
@@ -1,7 +1,7 @@
 //! Session datagrams, whole, cut short, changed on the way, and made up.
 
 use super::*;
-use crate::MAX_DATAGRAM;
+use crate::MAX_DATAGRAM_BYTES;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -36,7 +36,7 @@
         let key = Some(Key::new(b"secret")).filter(|_| keyed);
         let mut bytes = Vec::new();
         encode(&message, key.as_ref(), &mut bytes);
-        prop_assert!(bytes.len() <= MAX_DATAGRAM);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(decode(&bytes, key.as_ref()), Ok(message));
     }
 
--- a/crates/peers/src/tier/tests.rs
+++ b/crates/peers/src/tier/tests.rs
@@ -1,7 +1,7 @@
 //! Tier datagrams, whole, too full, changed on the way, and made up.
 
 use super::*;
-use crate::MAX_DATAGRAM;
+use crate::MAX_DATAGRAM_BYTES;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -120,7 +120,7 @@
         let key = Some(Key::new(b"secret")).filter(|_| keyed);
         let mut bytes = Vec::new();
         encode(&datagram, key.as_ref(), &mut bytes);
-        prop_assert!(bytes.len() <= MAX_DATAGRAM);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(decode(&bytes, key.as_ref(), NOW + 1_234.5), Ok(datagram));
     }
 
@@ -132,7 +132,7 @@
         let mut bytes = Vec::new();
         let full = Datagram { updates: more, ..datagram };
         encode(&full, Some(&Key::new(b"k")), &mut bytes);
-        prop_assert!(bytes.len() <= MAX_DATAGRAM);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         let back = decode(&bytes, Some(&Key::new(b"k")), NOW).unwrap();
         prop_assert_eq!(back.zone_ages, full.zone_ages);
         let for_digest = full.digest.map_or(0, |_| DIGEST_ENTRIES);
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -456,8 +456,10 @@
                     (host, PeerReport::ReplicaLag { lag_ms: ms, at })
                 }
                 magpiewell_tier::PeerFact::Unresponsive { host } => (host, PeerReport::Unresponsive),
-                magpiewell_tier::PeerFact::Members { zones, .. } if zones.len() == self.zones.len() => {
-                    self.policy.zone_read_shares = zones;
+                magpiewell_tier::PeerFact::Members { zone_shares, .. }
+                    if zone_shares.len() == self.zones.len() =>
+                {
+                    self.policy.zone_read_shares = zone_shares;
                     continue;
                 }
                 _ => continue,
--- a/crates/router/src/tier.rs
+++ b/crates/router/src/tier.rs
@@ -84,9 +84,9 @@
     let (sender, observations) = crossbeam_channel::bounded(shared.limits.max_observations);
     let limits = limits(options, shared.limits.peers_tick);
     let zone = u8::try_from(startup.terms.zone).ok();
-    let started = shared.clock.now().max(0.0) as u64;
+    let started_at = shared.clock.now().max(0.0) as u64;
     let key = options.key.as_deref().map(Key::new);
-    let identity = Identity { local: roster.local, roster_size: roster.addrs.len(), zone, started };
+    let identity = Identity { local: roster.local, roster_size: roster.addrs.len(), zone, started_at };
     let tier = Tier::new(identity, startup.seed, key, limits).map_err(|e| format!("'peers': {e}"))?;
     let member_ids = roster.addrs.iter().copied().zip(0..).collect();
     let (shared, peers) = (shared.clone(), roster.addrs);
@@ -116,7 +116,7 @@
         unresponsive_quorum: options.unresponsive_quorum,
         zone_evidence: options.zone_evidence,
         pull_facts: options.pull_facts,
-        pull_period: options.probe_period_ms / PULLS_PER_PROBE_PERIOD,
+        pull_period_ms: options.probe_period_ms / PULLS_PER_PROBE_PERIOD,
         ..Limits::default()
     };
     limits.members.probe_period = options.probe_period_ms;
@@ -129,7 +129,7 @@
     /// Runs until the router is asked to stop, then announces its departure to peers and ends.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(16);
-        let mut buf = [0; 2 * magpiewell_peers::MAX_DATAGRAM];
+        let mut buf = [0; 2 * magpiewell_peers::MAX_DATAGRAM_BYTES];
         let (mut tick_at, mut figures_at) = (0.0, self.shared.clock.now() + self.shared.limits.figures_ms);
         loop {
             let wait = self.shared.clock.until(tick_at).min(self.shared.limits.peers_tick);
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -39,7 +39,7 @@
     /// Its zone, where it knows it.
     pub zone: Option<u8>,
     /// When its process started, in Unix ms.
-    pub started: u64,
+    pub started_at: u64,
 }
 
 /// Entries for updates and facts that a datagram has at least, whatever else was asked for.
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct MemberCounts {
     counted: usize,
-    zones: Vec<f64>,
+    zone_shares: Vec<f64>,
 }
 
 /// One router's membership and facts, and what bounds its datagrams.
@@ -97,9 +97,9 @@
 impl Tier {
     /// A tier of which this router knows nothing yet but the roster.
     pub fn new(identity: Identity, seed: u64, key: Option<Key>, limits: Limits) -> Result<Tier, RosterError> {
-        let Identity { local, roster_size, zone, started } = identity;
-        let members = Members::new(local, roster_size, started, seed, limits.members)?;
-        let evidence = zones::evidence(&limits, zone, local, roster_size, started as f64);
+        let Identity { local, roster_size, zone, started_at } = identity;
+        let members = Members::new(local, roster_size, started_at, seed, limits.members)?;
+        let evidence = zones::evidence(&limits, zone, local, roster_size, started_at as f64);
         let zone = zone.unwrap_or(NO_ZONE);
         let mut senders = vec![SenderState::default(); roster_size];
         if let Some(own) = senders.get_mut(usize::from(local)) {
@@ -337,7 +337,7 @@
             return;
         }
         self.reported = counts.clone();
-        output.events.push(PeerFact::Members { counted: counts.counted, zones: counts.zones });
+        output.events.push(PeerFact::Members { counted: counts.counted, zone_shares: counts.zone_shares });
     }
 
     fn count_members(&self) -> MemberCounts {
@@ -346,11 +346,11 @@
             first_hand.or_else(|| self.zone_map()?.zone(member).map(|zone| zone as u8))
         };
         let known: Vec<u8> = self.members.counted().filter_map(zone).collect();
-        let mut zones = vec![0.0; known.iter().max().map_or(0, |highest| usize::from(*highest) + 1)];
+        let mut zone_shares = vec![0.0; known.iter().max().map_or(0, |highest| usize::from(*highest) + 1)];
         for zone in &known {
-            zones[usize::from(*zone)] += 1.0 / known.len() as f64;
+            zone_shares[usize::from(*zone)] += 1.0 / known.len() as f64;
         }
-        MemberCounts { counted: self.members.counted_size(), zones }
+        MemberCounts { counted: self.members.counted_size(), zone_shares }
     }
 }
 
--- a/crates/tier/src/limits.rs
+++ b/crates/tier/src/limits.rs
@@ -20,7 +20,7 @@
     /// Whether this router asks others for primaries that it lacks while primaries are changing.
     pub pull_facts: bool,
     /// One such request goes out so often, in ms, while the token bucket has room for it and its answer.
-    pub pull_period: f64,
+    pub pull_period_ms: f64,
     /// Datagrams of one sender that are accepted a second.
     pub max_received_per_second: u32,
     /// Members that are told that this router leaves.
@@ -40,7 +40,7 @@
             max_updates: 6,
             zone_evidence: false,
             pull_facts: false,
-            pull_period: 625.0,
+            pull_period_ms: 625.0,
             max_received_per_second: 40,
             leave_fanout: 6,
             unresponsive_quorum: 2,
--- a/crates/tier/src/output.rs
+++ b/crates/tier/src/output.rs
@@ -24,7 +24,7 @@
     /// Other routers' reads of a host took `ratio` times as long as usual.
     Slow { host: HostKey, ratio: f64, reads: f64 },
     /// How many members count, and the part of them in each zone; empty where no zone is known.
-    Members { counted: usize, zones: Vec<f64> },
+    Members { counted: usize, zone_shares: Vec<f64> },
 }
 
 /// What is believed of a zone has changed.
--- a/crates/tier/src/pull.rs
+++ b/crates/tier/src/pull.rs
@@ -35,7 +35,7 @@
         }
         let Some(to) = self.gossip_targets(now, 1).pop() else { return };
         (0..TOKENS_PER_PULL).for_each(|_| self.urgent.take_one());
-        self.next_pull_at = now + self.limits.pull_period;
+        self.next_pull_at = now + self.limits.pull_period_ms;
         let salt = self.members.random_number() as u8;
         let entries = Entries { digest: Some(self.facts.digest(now, salt)), ..Entries::default() };
         let message = self.members.ping();
--- a/crates/tier/src/tests.rs
+++ b/crates/tier/src/tests.rs
@@ -24,7 +24,7 @@
 
 fn one(me: usize, of: usize, seed: u64) -> Tier {
     let zone = Some((me % 3) as u8);
-    let identity = Identity { local: me as u16, roster_size: of, zone, started: START as u64 };
+    let identity = Identity { local: me as u16, roster_size: of, zone, started_at: START as u64 };
     Tier::new(identity, seed * 10_000 + me as u64, Some(Key::new(b"k")), Limits::default()).unwrap()
 }
 
@@ -102,10 +102,12 @@
         net.run(seconds * 1e3);
         assert!((1.0..2.0).contains(&net.rate()), "{of}: {}", net.rate());
         let last = net.events[0].iter().rev().find(|t| matches!(t, PeerFact::Members { .. }));
-        let Some(PeerFact::Members { counted, zones }) = last else { panic!("{last:?}") };
+        let Some(PeerFact::Members { counted, zone_shares }) = last else { panic!("{last:?}") };
         assert!(
-            *counted == of && zones.len() == 3 && zones.iter().all(|z| (z - 1.0 / 3.0).abs() < 0.15),
-            "{zones:?}"
+            *counted == of
+                && zone_shares.len() == 3
+                && zone_shares.iter().all(|z| (z - 1.0 / 3.0).abs() < 0.15),
+            "{zone_shares:?}"
         );
     }
 }
@@ -244,7 +246,7 @@
 fn what_a_router_lacks_it_pulls_while_primaries_change() {
     const GROUPS: u32 = 40;
     let router = |local, pull_facts| {
-        let identity = Identity { local, roster_size: 2, zone: Some(0), started: START as u64 };
+        let identity = Identity { local, roster_size: 2, zone: Some(0), started_at: START as u64 };
         Tier::new(identity, 7, None, Limits { pull_facts, ..Limits::default() }).unwrap()
     };
     let known =
@@ -289,7 +291,7 @@
         all in prop::collection::vec((0u16..6, prop::collection::vec(any::<u8>(), 0..300)), 0..60),
         zone_evidence in any::<bool>()
     ) {
-        let identity = Identity { local: 0, roster_size: 4, zone: None, started: 1 };
+        let identity = Identity { local: 0, roster_size: 4, zone: None, started_at: 1 };
         let mut tier = Tier::new(identity, 1, None, Limits { zone_evidence, pull_facts: zone_evidence, ..Limits::default() }).unwrap();
         for (no, (from, bytes)) in all.into_iter().enumerate() {
             let output = tier.receive(START + no as f64 * 37.0, from, &bytes);
