--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -1,44 +1,44 @@
-//! What all datagrams have in common: mark, version, kind, number of entries, and the hash at the end.
+//! The framing shared by all datagrams: magic byte, version, kind, entry count and the trailing keyed hash.
 
 use crate::Key;
 use crate::key::HASH_LENGTH;
 
-/// The longest datagram, in bytes.
+/// Maximum length of a datagram, including the hash.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// A byte that marks the protocol, and its version.
-pub(crate) const MARK: [u8; 2] = [0x4d, 1];
-/// Offset of the byte that says of what kind a datagram is.
+/// The magic byte that identifies the protocol, and the protocol version.
+pub(crate) const MAGIC: [u8; 2] = [0x4d, 1];
+/// Offset of the datagram's kind.
 pub(crate) const KIND: usize = 2;
-/// Offset of the byte that counts the entries.
+/// Offset of the entry count.
 pub(crate) const COUNT: usize = 3;
 
-/// Why a datagram was dropped.
+/// Why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Too short, too long, or its number of entries does not fit its length.
+    /// Too short, too long, or the length does not match the entry count.
     Length,
-    /// Another protocol, or another version of this one.
-    Mark,
-    /// An unknown kind of datagram, of entry or of state.
+    /// A different protocol or protocol version.
+    Magic,
+    /// An unknown datagram kind, entry kind or member state, or digest parts that do not match.
     Kind,
-    /// The hash does not fit: another key, or the datagram was changed on the way.
-    Key,
+    /// The keyed hash does not match: a different key, or the datagram was modified in transit.
+    Authentication,
 }
 
-/// How many entries fit behind a header, with room for the hash.
+/// Number of entries that fit into a datagram after the header, with room for the hash.
 pub(crate) const fn max_entries(header_length: usize, entry_length: usize) -> usize {
     (MAX_DATAGRAM_BYTES - header_length - HASH_LENGTH) / entry_length
 }
 
-/// Begins a datagram of this kind, with no entries yet.
+/// Starts a datagram of this kind: replaces the contents of `bytes` with the common header.
 pub(crate) fn begin(kind: u8, bytes: &mut Vec<u8>) {
     bytes.clear();
-    bytes.extend_from_slice(&MARK);
+    bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&[kind, 0]);
 }
 
-/// Sets the number of entries and appends the hash, if there is a key.
+/// Sets the entry count and, if there is a key, appends the hash.
 pub(crate) fn finish(count: usize, key: Option<&Key>, bytes: &mut Vec<u8>) {
     bytes[COUNT] = count as u8;
     if let Some(key) = key {
@@ -47,8 +47,8 @@
     }
 }
 
-/// Header and entries of a received datagram, if mark, hash and length fit.
-pub(crate) fn open<'a>(
+/// Checks length, magic, version and hash of a received datagram; returns its header and its entries.
+pub(crate) fn parse<'a>(
     bytes: &'a [u8],
     key: Option<&Key>,
     header_length: usize,
@@ -60,11 +60,11 @@
     if body.len() < header_length || bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::Length);
     }
-    if body[..MARK.len()] != MARK {
-        return Err(DecodeError::Mark);
+    if body[..MAGIC.len()] != MAGIC {
+        return Err(DecodeError::Magic);
     }
     if key.is_some_and(|key| !key.verifies(body, hash)) {
-        return Err(DecodeError::Key);
+        return Err(DecodeError::Authentication);
     }
     let (header, entries) = body.split_at(header_length);
     if entries.len() != entry_length * usize::from(header[COUNT]) {
@@ -73,7 +73,7 @@
     Ok((header, entries))
 }
 
-/// The big-endian number in these bytes, of which there are at most eight.
+/// Reads a big-endian number of at most eight bytes.
 pub(crate) fn read_number(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,10 +1,10 @@
-//! The datagrams of at most 256 bytes that routers of a tier send one another. No I/O: bytes in, messages
-//! out.
+//! Encoding and decoding of the datagrams, of at most 256 bytes, that the routers of a tier exchange. No I/O:
+//! bytes in, messages out.
 //!
-//! Each datagram begins with a mark, a version, a kind and a number of entries; where a key is set, 16 bytes
-//! of a keyed hash (BLAKE3) over everything before them follow at the end. Numbers are big-endian. A datagram
-//! that can't be decoded, or was made without the key, is dropped and counted by the receiver; this costs no
-//! other sender anything.
+//! Each datagram starts with a magic byte, a version, a kind and an entry count. If a key is set, it ends
+//! with 16 bytes of a keyed hash (BLAKE3) over everything before them. Numbers are big-endian. The receiver
+//! drops and counts datagrams that can't be decoded or were made without the key; other senders are not
+//! affected.
 
 mod frame;
 mod key;
--- a/crates/peers/src/session.rs
+++ b/crates/peers/src/session.rs
@@ -1,9 +1,9 @@
-//! Datagrams by which routers ask one another from what positions on sessions see their writes.
+//! Session datagrams: routers ask one another which log position a replica must have reached for a session to
+//! read its own writes.
 //!
-//! Behind the common header the incarnation of the router that asks (eight bytes), then entries of 16 bytes.
-//! An answer to another incarnation of the same router means nothing to this one. An old datagram that is
-//! sent again changes nothing: requests change nothing, and a reply counts for one open request of one
-//! incarnation only.
+//! The common header is followed by the incarnation of the requesting router (eight bytes) and entries of 16
+//! bytes. A router ignores replies to another of its incarnations. Replayed datagrams are harmless: requests
+//! change no state, and a reply is accepted only for one outstanding request of one incarnation.
 
 use crate::frame::{self, COUNT, DecodeError, KIND, read_number};
 use crate::key::Key;
@@ -12,10 +12,11 @@
 const INCARNATION: Range<usize> = 4..12;
 const HEADER_LENGTH: usize = 12;
 
-const ENTRY_REQUEST: Range<usize> = 0..8;
+const ENTRY_REQUEST_ID: Range<usize> = 0..8;
+/// The session id of a request, or the position of a reply.
 const ENTRY_VALUE: Range<usize> = 8..16;
 const ENTRY_LENGTH: usize = 16;
-/// Entries that fit into one datagram, with room for the hash.
+/// Maximum number of entries in a datagram, with room for the hash.
 pub const MAX_ENTRIES: usize = frame::max_entries(HEADER_LENGTH, ENTRY_LENGTH);
 
 const KIND_REQUESTS: u8 = 1;
@@ -23,34 +24,34 @@
 const KIND_PING: u8 = 3;
 const KIND_ACK: u8 = 4;
 
-/// The contents of one datagram. `incarnation` is that of the router that asked.
+/// The contents of a session datagram. `incarnation` is that of the requesting router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SessionMessage {
-    /// From what positions on do these sessions see their writes?
+    /// Asks for the positions from which these sessions read their own writes.
     Requests { incarnation: u64, requests: Vec<PositionRequest> },
-    /// Answers to requests.
+    /// Replies to [`SessionMessage::Requests`].
     Replies { incarnation: u64, replies: Vec<PositionReply> },
-    /// Asks for an [`SessionMessage::Ack`].
+    /// Asks for a [`SessionMessage::Ack`].
     Ping { incarnation: u64 },
-    /// Answers a ping.
+    /// Acknowledges a [`SessionMessage::Ping`].
     Ack { incarnation: u64 },
 }
 
-/// A question about one session.
+/// A request for the position of one session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PositionRequest {
-    /// The number of this request.
-    pub request: u64,
-    /// The session asked about.
-    pub session: u64,
+    /// Identifies the request in its reply.
+    pub request_id: u64,
+    /// The session whose position is requested.
+    pub session_id: u64,
 }
 
-/// The answer to one request.
+/// The reply to one [`PositionRequest`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PositionReply {
-    /// The number of the request.
-    pub request: u64,
-    /// The log position from which on the session sees its writes.
+    /// The id of the request that this replies to.
+    pub request_id: u64,
+    /// The lowest log position at which the session reads its own writes.
     pub position: f64,
 }
 
@@ -74,21 +75,25 @@
     }
 }
 
-/// Encodes a message. Entries beyond [`MAX_ENTRIES`] are left out: whoever has more encodes more datagrams.
+/// Encodes a message. Entries beyond [`MAX_ENTRIES`] are omitted: callers with more of them encode several
+/// datagrams.
 pub fn encode(message: &SessionMessage, key: Option<&Key>, bytes: &mut Vec<u8>) {
     frame::begin(message.kind(), bytes);
     bytes.extend_from_slice(&message.incarnation().to_be_bytes());
-    let mut push = |request: u64, value: u64| {
-        bytes.extend_from_slice(&request.to_be_bytes());
+    let mut push = |request_id: u64, value: u64| {
+        bytes.extend_from_slice(&request_id.to_be_bytes());
         bytes.extend_from_slice(&value.to_be_bytes());
     };
     let count = match message {
         SessionMessage::Requests { requests, .. } => {
-            requests.iter().take(MAX_ENTRIES).for_each(|entry| push(entry.request, entry.session));
+            requests.iter().take(MAX_ENTRIES).for_each(|entry| push(entry.request_id, entry.session_id));
             requests.len().min(MAX_ENTRIES)
         }
         SessionMessage::Replies { replies, .. } => {
-            replies.iter().take(MAX_ENTRIES).for_each(|entry| push(entry.request, entry.position.to_bits()));
+            replies
+                .iter()
+                .take(MAX_ENTRIES)
+                .for_each(|entry| push(entry.request_id, entry.position.to_bits()));
             replies.len().min(MAX_ENTRIES)
         }
         SessionMessage::Ping { .. } | SessionMessage::Ack { .. } => 0,
@@ -96,9 +101,9 @@
     frame::finish(count, key, bytes);
 }
 
-/// Decodes a datagram.
+/// Decodes a session datagram.
 pub fn decode(bytes: &[u8], key: Option<&Key>) -> Result<SessionMessage, DecodeError> {
-    let (header, entries) = frame::open(bytes, key, HEADER_LENGTH, ENTRY_LENGTH)?;
+    let (header, entries) = frame::parse(bytes, key, HEADER_LENGTH, ENTRY_LENGTH)?;
     let incarnation = read_number(&header[INCARNATION]);
     match header[KIND] {
         KIND_REQUESTS => {
@@ -117,12 +122,15 @@
 }
 
 fn decode_request(entry: &[u8]) -> PositionRequest {
-    PositionRequest { request: read_number(&entry[ENTRY_REQUEST]), session: read_number(&entry[ENTRY_VALUE]) }
+    PositionRequest {
+        request_id: read_number(&entry[ENTRY_REQUEST_ID]),
+        session_id: read_number(&entry[ENTRY_VALUE]),
+    }
 }
 
 fn decode_reply(entry: &[u8]) -> PositionReply {
     let position = f64::from_bits(read_number(&entry[ENTRY_VALUE]));
-    PositionReply { request: read_number(&entry[ENTRY_REQUEST]), position }
+    PositionReply { request_id: read_number(&entry[ENTRY_REQUEST_ID]), position }
 }
 
 #[cfg(test)]
--- a/crates/peers/src/session/tests.rs
+++ b/crates/peers/src/session/tests.rs
@@ -1,20 +1,21 @@
-//! Session datagrams, whole, cut short, changed on the way, and made up.
+//! Encoding and decoding of session datagrams: round trips, and truncated, modified and arbitrary input.
 
 use super::*;
 use crate::MAX_DATAGRAM_BYTES;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-fn set() -> Config {
+fn config() -> Config {
     Config { cases: 512, rng_seed: RngSeed::Fixed(17), failure_persistence: None, ..Config::default() }
 }
 
 fn request() -> impl Strategy<Value = PositionRequest> {
-    (any::<u64>(), any::<u64>()).prop_map(|(request, session)| PositionRequest { request, session })
+    (any::<u64>(), any::<u64>())
+        .prop_map(|(request_id, session_id)| PositionRequest { request_id, session_id })
 }
 
 fn reply() -> impl Strategy<Value = PositionReply> {
-    (any::<u64>(), -1e15f64..1e15).prop_map(|(request, position)| PositionReply { request, position })
+    (any::<u64>(), -1e15f64..1e15).prop_map(|(request_id, position)| PositionReply { request_id, position })
 }
 
 fn message() -> impl Strategy<Value = SessionMessage> {
@@ -29,10 +30,10 @@
 }
 
 proptest! {
-    #![proptest_config(set())]
+    #![proptest_config(config())]
 
     #[test]
-    fn what_is_encoded_is_decoded(message in message(), keyed in any::<bool>()) {
+    fn decoding_reverses_encoding(message in message(), keyed in any::<bool>()) {
         let key = Some(Key::new(b"secret")).filter(|_| keyed);
         let mut bytes = Vec::new();
         encode(&message, key.as_ref(), &mut bytes);
@@ -40,9 +41,10 @@
         prop_assert_eq!(decode(&bytes, key.as_ref()), Ok(message));
     }
 
-    /// Cut short, lengthened, or with any one bit turned: dropped where a key is set.
+    /// With a key set, a datagram is rejected if it is truncated, extended, has any single bit flipped, or
+    /// was made with another key.
     #[test]
-    fn what_was_changed_on_the_way_is_dropped(
+    fn modified_datagrams_are_rejected(
         message in message(), at in any::<usize>(), bit in 0u8..8
     ) {
         let key = Key::new(b"secret");
@@ -50,22 +52,22 @@
         encode(&message, Some(&key), &mut bytes);
         prop_assert!(decode(&bytes, Some(&Key::new(b"another"))).is_err());
         prop_assert!(decode(&bytes[..at % bytes.len()], Some(&key)).is_err());
-        let (at, mut longer) = (at % bytes.len(), bytes.clone());
-        longer.push(0);
-        prop_assert!(decode(&longer, Some(&key)).is_err());
+        let (at, mut extended) = (at % bytes.len(), bytes.clone());
+        extended.push(0);
+        prop_assert!(decode(&extended, Some(&key)).is_err());
         bytes[at] ^= 1 << bit;
         prop_assert!(decode(&bytes, Some(&key)).is_err());
     }
 
     #[test]
-    fn any_bytes_are_a_message_or_a_defined_fault(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_decode_or_fail_cleanly(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes, None);
-        let mut marked = vec![frame::MARK[0], frame::MARK[1]];
-        marked.extend_from_slice(&bytes);
-        if let Ok(message) = decode(&marked, None) {
-            let mut again = Vec::new();
-            encode(&message, None, &mut again);
-            prop_assert_eq!(again, marked);
+        let mut with_magic = vec![frame::MAGIC[0], frame::MAGIC[1]];
+        with_magic.extend_from_slice(&bytes);
+        if let Ok(message) = decode(&with_magic, None) {
+            let mut reencoded = Vec::new();
+            encode(&message, None, &mut reencoded);
+            prop_assert_eq!(reencoded, with_magic);
         }
     }
 }
--- a/crates/peers/src/tier.rs
+++ b/crates/peers/src/tier.rs
@@ -1,9 +1,9 @@
-//! Datagrams by which routers of a tier tell one another about members and hosts: a membership message, and
-//! as many updates and facts as fit. Bytes in and out, no I/O.
+//! Gossip datagrams of a tier: a message of the membership protocol, with as many updates about members and
+//! facts about hosts piggybacked on it as fit. Bytes in and out, no I/O.
 //!
-//! Behind the common header the sender (its number, incarnation and zone) and the message's numbers, then
-//! entries of 15 bytes. Times of facts are encoded by their lowest 32 bits in whole ms and decoded as the
-//! nearest such time to the reader's clock.
+//! The common header is followed by the sender (its member number, incarnation and zone), the message's
+//! sequence number and target, and entries of 15 bytes. Timestamps of facts are encoded as the lowest 32 bits
+//! of their whole ms and decoded as the nearest such time to the receiver's clock.
 
 use crate::frame::{self, DecodeError, KIND, read_number};
 use crate::key::Key;
@@ -17,10 +17,10 @@
 const NUMBER: Range<usize> = 16..20;
 const TARGET: Range<usize> = 20..22;
 const ZONE: usize = 22;
-const WANTED_BATCH: usize = 23;
+const REQUESTED_BATCH: usize = 23;
 const HEADER_LENGTH: usize = 24;
 
-/// Fills an update's last byte, and what an entry of zones doesn't use.
+/// Fills unused bytes: the last one of an update and two of an entry of zone ages.
 const PADDING: u8 = 0;
 
 const KIND_PING: u8 = 16;
@@ -28,7 +28,7 @@
 const KIND_PING_REQUEST: u8 = 18;
 const KIND_GOSSIP: u8 = 19;
 
-/// Offset of the byte that says of what kind an entry is.
+/// Offset of the entry's kind.
 const ENTRY_KIND: usize = 0;
 /// The member that an update is about, or the origin of a fact.
 const ENTRY_MEMBER: Range<usize> = 1..3;
@@ -38,7 +38,7 @@
 const FACT_VALUE: Range<usize> = 7..11;
 const FACT_TIME: Range<usize> = 11..15;
 const ENTRY_LENGTH: usize = 15;
-/// Entries that fit into one datagram, with room for the hash.
+/// Maximum number of entries in a datagram, with room for the hash.
 pub const MAX_ENTRIES: usize = frame::max_entries(HEADER_LENGTH, ENTRY_LENGTH);
 
 const ENTRY_UPDATE: u8 = 0;
@@ -50,18 +50,19 @@
 const ENTRY_ZONE_MAP: u8 = 6;
 const ENTRY_DIGEST: u8 = 7;
 
-/// The first member of a chunk of the zone map.
+/// The first member that a chunk of the zone map covers.
 const CHUNK_FIRST: Range<usize> = 1..3;
-/// The ages of zones, a byte each, or the zones of members, four bits each.
+/// The ages of zones, one byte each, or the zones of members, four bits each.
 const ZONE_DATA: Range<usize> = 3..15;
-/// The number of a part of a digest, and the digest's salt.
+/// The index of the part of the digest that an entry holds.
 const DIGEST_PART: usize = 1;
+/// The digest's salt, the same in all parts.
 const DIGEST_SALT: usize = 2;
 const DIGEST_DATA: Range<usize> = 3..15;
 const DIGEST_PART_BYTES: usize = DIGEST_DATA.end - DIGEST_DATA.start;
-/// Entries that a digest takes.
+/// Number of entries that a digest occupies.
 pub const DIGEST_ENTRIES: usize = DIGEST_BYTES / DIGEST_PART_BYTES;
-/// Stands in the header where no part of the zone map is asked for; else it is the number of the part, plus one.
+/// The header's value if no batch of the zone map is requested; otherwise it is the batch number plus one.
 const NO_BATCH: u8 = 0;
 
 const STATE_ALIVE: u8 = 0;
@@ -70,38 +71,38 @@
 const STATE_LEFT: u8 = 3;
 
 /// Length of the encoded start time of an incarnation, in bytes.
-const STARTED_LENGTH: usize = 6;
+const STARTED_AT_LENGTH: usize = 6;
 
-/// What a sender gives as its zone where it knows none.
+/// The sender's zone in the header if the sender doesn't know its zone.
 pub const NO_ZONE: u8 = u8::MAX;
 
-/// The contents of one datagram.
+/// The contents of a tier datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
-    /// The sender's number in the roster.
+    /// The sender's member number: its index in the roster.
     pub sender: u16,
     /// The sender's zone, or [`NO_ZONE`].
     pub zone: u8,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The membership protocol's message.
+    /// The message of the membership protocol.
     pub message: Message,
     /// Updates about members.
     pub updates: Vec<Update>,
     /// Facts about groups and hosts.
     pub facts: Vec<Fact>,
-    /// How old the sender's latest signs of life of each zone are.
+    /// The age of the latest sign of life that the sender knows of each zone.
     pub zone_ages: Option<Ages>,
-    /// Parts of the sender's map of zones.
+    /// Chunks of the sender's zone map.
     pub zone_chunks: Vec<MapChunk>,
-    /// A part of the map of zones that the sender lacks.
-    pub wanted_batch: Option<MapBatch>,
-    /// The primaries that the sender knows: it asks for others.
+    /// A batch of the zone map that the sender lacks and requests.
+    pub requested_batch: Option<MapBatch>,
+    /// A digest of the primaries that the sender knows: a request for those it lacks.
     pub digest: Option<Digest>,
 }
 
-/// Encodes a datagram. Entries beyond [`MAX_ENTRIES`] are left out: of the zone map first, then
-/// facts, then updates.
+/// Encodes a datagram. Entries beyond [`MAX_ENTRIES`] are omitted: chunks of the zone map first, then facts,
+/// then updates.
 pub fn encode(datagram: &Datagram, key: Option<&Key>, bytes: &mut Vec<u8>) {
     let (kind, number, target) = match datagram.message {
         Message::Ping { number } => (KIND_PING, number, 0),
@@ -114,8 +115,8 @@
     encode_incarnation(datagram.incarnation, bytes);
     bytes.extend_from_slice(&number.to_be_bytes());
     bytes.extend_from_slice(&target.to_be_bytes());
-    let wanted = datagram.wanted_batch.map_or(NO_BATCH, |batch| batch.0.saturating_add(1));
-    bytes.extend_from_slice(&[datagram.zone, wanted]);
+    let requested = datagram.requested_batch.map_or(NO_BATCH, |batch| batch.0.saturating_add(1));
+    bytes.extend_from_slice(&[datagram.zone, requested]);
     datagram.zone_ages.iter().for_each(|ages| encode_zone_ages(ages, bytes));
     datagram.digest.iter().for_each(|digest| encode_digest(digest, bytes));
     let mut count = usize::from(datagram.zone_ages.is_some());
@@ -133,8 +134,8 @@
 }
 
 fn encode_incarnation(incarnation: Incarnation, bytes: &mut Vec<u8>) {
-    let started = incarnation.started_at.to_be_bytes();
-    bytes.extend_from_slice(&started[started.len() - STARTED_LENGTH..]);
+    let started_at = incarnation.started_at.to_be_bytes();
+    bytes.extend_from_slice(&started_at[started_at.len() - STARTED_AT_LENGTH..]);
     bytes.extend_from_slice(&incarnation.refutations.to_be_bytes());
 }
 
@@ -185,21 +186,21 @@
     }
 }
 
-/// The lowest 32 bits of a time in whole ms.
+/// The lowest 32 bits of a timestamp in whole ms.
 fn low_bits(time: f64) -> u32 {
     time.max(0.0) as u64 as u32
 }
 
-/// The time nearest to now with these lowest 32 bits of whole ms.
+/// The timestamp nearest to `now` whose whole ms have these lowest 32 bits.
 fn nearest_time(now: f64, low_bits: u32) -> f64 {
     let base = now.clamp(0.0, 1e15) as u64;
     let offset = low_bits.wrapping_sub(base as u32) as i32;
     base as f64 + f64::from(offset)
 }
 
-/// Decodes a datagram received at this time, in Unix ms.
+/// Decodes a tier datagram that was received at `now`, in Unix ms.
 pub fn decode(bytes: &[u8], key: Option<&Key>, now: f64) -> Result<Datagram, DecodeError> {
-    let (header, entries) = frame::open(bytes, key, HEADER_LENGTH, ENTRY_LENGTH)?;
+    let (header, entries) = frame::parse(bytes, key, HEADER_LENGTH, ENTRY_LENGTH)?;
     let message = decode_message(header)?;
     let (mut updates, mut facts) = (Vec::new(), Vec::new());
     let (mut zone_ages, mut zone_chunks) = (None, Vec::new());
@@ -216,7 +217,7 @@
     let sender = read_number(&header[SENDER]) as u16;
     let incarnation = decode_incarnation(&header[INCARNATION]);
     let zone = header[ZONE];
-    let wanted_batch = header[WANTED_BATCH].checked_sub(1).map(MapBatch);
+    let requested_batch = header[REQUESTED_BATCH].checked_sub(1).map(MapBatch);
     Ok(Datagram {
         sender,
         zone,
@@ -226,12 +227,12 @@
         facts,
         zone_ages,
         zone_chunks,
-        wanted_batch,
+        requested_batch,
         digest: decode_digest(&digest_parts)?,
     })
 }
 
-/// The digest of which these are the entries, if there are any; they come whole and in order.
+/// Decodes the digest from its entries, all of which must be present and in order; `None` if there are none.
 fn decode_digest(parts: &[&[u8]]) -> Result<Option<Digest>, DecodeError> {
     let Some(first) = parts.first() else { return Ok(None) };
     let mut digest = Digest::empty(first[DIGEST_SALT]);
@@ -277,8 +278,8 @@
 }
 
 fn decode_incarnation(bytes: &[u8]) -> Incarnation {
-    let (started, refutations) = bytes.split_at(STARTED_LENGTH);
-    Incarnation { started_at: read_number(started), refutations: read_number(refutations) as u32 }
+    let (started_at, refutations) = bytes.split_at(STARTED_AT_LENGTH);
+    Incarnation { started_at: read_number(started_at), refutations: read_number(refutations) as u32 }
 }
 
 fn decode_update(entry: &[u8]) -> Result<Update, DecodeError> {
--- a/crates/peers/src/tier/tests.rs
+++ b/crates/peers/src/tier/tests.rs
@@ -1,4 +1,4 @@
-//! Tier datagrams, whole, too full, changed on the way, and made up.
+//! Encoding and decoding of tier datagrams: round trips, and oversized, modified and arbitrary input.
 
 use super::*;
 use crate::MAX_DATAGRAM_BYTES;
@@ -7,7 +7,7 @@
 
 const NOW: f64 = 1_796_000_000_000.0;
 
-fn set() -> Config {
+fn config() -> Config {
     Config { cases: 512, rng_seed: RngSeed::Fixed(41), failure_persistence: None, ..Config::default() }
 }
 
@@ -33,10 +33,10 @@
         (any::<u32>(), any::<u16>(), any::<u16>())
             .prop_map(|(host, latency_percent, reads)| Observation::Slow { host, latency_percent, reads }),
     ];
-    (observation, any::<u16>(), -1_000_000i64..1_000_000).prop_map(|(observation, origin, off)| Fact {
+    (observation, any::<u16>(), -1_000_000i64..1_000_000).prop_map(|(observation, origin, offset)| Fact {
         observation,
         origin,
-        observed_at: NOW + off as f64,
+        observed_at: NOW + offset as f64,
     })
 }
 
@@ -44,8 +44,8 @@
     let ages = prop::option::of(prop::array::uniform12(any::<u8>()).prop_map(|ages| ages.map(Age)));
     let chunk =
         (any::<u16>(), prop::array::uniform24(0u8..16)).prop_map(|(first, zones)| MapChunk { first, zones });
-    let wanted = prop::option::of((0u8..255).prop_map(MapBatch));
-    (ages, prop::collection::vec(chunk, 0..4), wanted)
+    let requested = prop::option::of((0u8..255).prop_map(MapBatch));
+    (ages, prop::collection::vec(chunk, 0..4), requested)
 }
 
 fn datagram() -> impl Strategy<Value = Datagram> {
@@ -68,7 +68,7 @@
             incarnation,
             message,
             (updates, facts, digest),
-            (zone_ages, zone_chunks, wanted_batch),
+            (zone_ages, zone_chunks, requested_batch),
         )| {
             Datagram {
                 sender,
@@ -79,16 +79,16 @@
                 facts,
                 zone_ages,
                 zone_chunks,
-                wanted_batch,
+                requested_batch,
                 digest,
             }
         },
     )
 }
 
-/// A digest of which a part is missing, or out of order, is no digest.
+/// A digest is rejected if one of its parts is missing or out of order.
 #[test]
-fn a_digest_in_parts_that_do_not_fit_is_refused() {
+fn digest_with_missing_or_misnumbered_parts_is_rejected() {
     let datagram = Datagram {
         sender: 1,
         zone: 0,
@@ -98,7 +98,7 @@
         facts: Vec::new(),
         zone_ages: None,
         zone_chunks: Vec::new(),
-        wanted_batch: None,
+        requested_batch: None,
         digest: Some(Digest::empty(9)),
     };
     let mut bytes = Vec::new();
@@ -113,10 +113,10 @@
 }
 
 proptest! {
-    #![proptest_config(set())]
+    #![proptest_config(config())]
 
     #[test]
-    fn what_is_encoded_is_decoded(datagram in datagram(), keyed in any::<bool>()) {
+    fn decoding_reverses_encoding(datagram in datagram(), keyed in any::<bool>()) {
         let key = Some(Key::new(b"secret")).filter(|_| keyed);
         let mut bytes = Vec::new();
         encode(&datagram, key.as_ref(), &mut bytes);
@@ -124,25 +124,26 @@
         prop_assert_eq!(decode(&bytes, key.as_ref(), NOW + 1_234.5), Ok(datagram));
     }
 
-    /// However much there is to say, it fits; what comes first is told.
+    /// However many entries there are, the datagram stays within its maximum length: updates beyond the room
+    /// left by the ages and the digest are omitted, and with them all facts and chunks of the zone map.
     #[test]
-    fn what_does_not_fit_is_left_out(
-        datagram in datagram(), more in prop::collection::vec(update(), 14..40)
+    fn entries_beyond_the_limit_are_omitted(
+        datagram in datagram(), many_updates in prop::collection::vec(update(), 14..40)
     ) {
         let mut bytes = Vec::new();
-        let full = Datagram { updates: more, ..datagram };
+        let full = Datagram { updates: many_updates, ..datagram };
         encode(&full, Some(&Key::new(b"k")), &mut bytes);
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        let back = decode(&bytes, Some(&Key::new(b"k")), NOW).unwrap();
-        prop_assert_eq!(back.zone_ages, full.zone_ages);
-        let for_digest = full.digest.map_or(0, |_| DIGEST_ENTRIES);
-        let room = MAX_ENTRIES - usize::from(full.zone_ages.is_some()) - for_digest;
-        prop_assert_eq!(&back.updates[..], &full.updates[..room]);
-        prop_assert!(back.facts.is_empty() && back.zone_chunks.is_empty());
+        let decoded = decode(&bytes, Some(&Key::new(b"k")), NOW).unwrap();
+        prop_assert_eq!(decoded.zone_ages, full.zone_ages);
+        let digest_entries = full.digest.map_or(0, |_| DIGEST_ENTRIES);
+        let room = MAX_ENTRIES - usize::from(full.zone_ages.is_some()) - digest_entries;
+        prop_assert_eq!(&decoded.updates[..], &full.updates[..room]);
+        prop_assert!(decoded.facts.is_empty() && decoded.zone_chunks.is_empty());
     }
 
     #[test]
-    fn what_was_changed_on_the_way_is_dropped(
+    fn modified_datagrams_are_rejected(
         datagram in datagram(), at in any::<usize>(), bit in 0u8..8
     ) {
         let key = Key::new(b"secret");
@@ -155,18 +156,18 @@
     }
 
     #[test]
-    fn any_bytes_are_a_datagram_or_a_defined_fault(
+    fn arbitrary_bytes_decode_or_fail_cleanly(
         bytes in prop::collection::vec(any::<u8>(), 0..300), kind in 14u8..22, count in 0u8..20
     ) {
         let _ = decode(&bytes, None, NOW);
-        let mut marked = vec![frame::MARK[0], frame::MARK[1], kind, count];
-        marked.extend_from_slice(&bytes);
-        let _ = decode(&marked, None, NOW);
-        marked.resize(HEADER_LENGTH + ENTRY_LENGTH * usize::from(count), 0);
-        if let Ok(datagram) = decode(&marked, None, NOW) {
-            let of_digest = datagram.digest.map_or(0, |_| DIGEST_ENTRIES);
-            let of_zones = datagram.zone_chunks.len() + usize::from(datagram.zone_ages.is_some());
-            let entries = datagram.updates.len() + datagram.facts.len() + of_zones + of_digest;
+        let mut with_magic = vec![frame::MAGIC[0], frame::MAGIC[1], kind, count];
+        with_magic.extend_from_slice(&bytes);
+        let _ = decode(&with_magic, None, NOW);
+        with_magic.resize(HEADER_LENGTH + ENTRY_LENGTH * usize::from(count), 0);
+        if let Ok(datagram) = decode(&with_magic, None, NOW) {
+            let digest_entries = datagram.digest.map_or(0, |_| DIGEST_ENTRIES);
+            let zone_entries = datagram.zone_chunks.len() + usize::from(datagram.zone_ages.is_some());
+            let entries = datagram.updates.len() + datagram.facts.len() + zone_entries + digest_entries;
             prop_assert_eq!(entries, usize::from(count));
         }
     }
--- a/crates/tier/src/counters.rs
+++ b/crates/tier/src/counters.rs
@@ -1,36 +1,36 @@
-//! Counters since the start.
+//! Counters of dropped and sent datagrams since the tier was created.
 
 use magpiewell_peers::DecodeError;
 
 /// Datagrams and facts dropped so far, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// Could not be decoded.
+    /// Datagrams that could not be decoded.
     pub unreadable: u64,
-    /// Made with another key, or without one.
+    /// Datagrams made with another key, or without one.
     pub wrong_key: u64,
-    /// From outside the roster, or in another member's name.
+    /// Datagrams from outside the roster or from this router itself, or with another member's number.
     pub stranger: u64,
-    /// Beyond what one sender may send a second.
+    /// Datagrams beyond the rate that is accepted from one sender.
     pub too_many: u64,
-    /// Facts of the future or the far past.
+    /// Facts that were dated in the future or had expired.
     pub rejected_facts: u64,
 }
 
 impl Dropped {
     pub(crate) fn count_error(&mut self, error: DecodeError) {
         match error {
-            DecodeError::Key => self.wrong_key += 1,
-            DecodeError::Length | DecodeError::Mark | DecodeError::Kind => self.unreadable += 1,
+            DecodeError::Authentication => self.wrong_key += 1,
+            DecodeError::Length | DecodeError::Magic | DecodeError::Kind => self.unreadable += 1,
         }
     }
 }
 
-/// What was sent so far.
+/// Datagrams and bytes sent so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sent {
     /// Datagrams sent.
     pub datagrams: u64,
-    /// Their lengths together, in bytes.
+    /// Their total length in bytes, without the headers of IP and UDP.
     pub bytes: u64,
 }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -1,11 +1,11 @@
-//! One router's part in its tier: membership and facts in datagrams of at most 256 bytes. Datagrams in,
-//! datagrams and events out; no I/O, no clock, no threads. Times are Unix ms.
+//! The gossip state machine of one router in its tier: membership and facts in datagrams of at most 256
+//! bytes. Datagrams in, datagrams and events out; no I/O, no clock, no threads. Times are Unix ms.
 //!
-//! Updates and facts are piggybacked on the membership protocol's messages, which go out at a steady rate.
-//! New facts are sent at once to a few members, who send them on at once to a few others, within a token
-//! bucket that bounds what one router sends whatever happens. A datagram that can't be decoded, comes from
-//! outside the roster or is in another member's name is dropped and counted. As the rate accepted of each
-//! sender is bounded on its own, no sender's datagrams cost another one anything.
+//! Updates and facts are piggybacked on the membership protocol's messages, which are sent at a steady rate.
+//! New facts are also sent immediately to a few members, which forward them immediately to a few others. A
+//! token bucket bounds these additional datagrams in all situations. A datagram that can't be decoded, comes
+//! from outside the roster or carries another member's number is dropped and counted. The rate limit on
+//! received datagrams applies to each sender separately, so that one sender can't use up another one's share.
 
 mod counters;
 mod limits;
@@ -27,83 +27,83 @@
 use pull::PullRequest;
 use sender::SenderState;
 use token_bucket::TokenBucket;
-use zones::WantedChunks;
+use zones::ChunkRequest;
 
-/// Who this router is.
+/// The identity of this router in its tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Its number in the roster.
+    /// Its member number: its index in the roster.
     pub local: u16,
-    /// How many members the roster has.
+    /// Number of members in the roster.
     pub roster_size: usize,
-    /// Its zone, where it knows it.
+    /// Its zone, if known.
     pub zone: Option<u8>,
-    /// When its process started, in Unix ms.
+    /// Start time of its process, in Unix ms.
     pub started_at: u64,
 }
 
-/// Entries for updates and facts that a datagram has at least, whatever else was asked for.
+/// Entries of a datagram that remain for updates and facts, whatever else it carries.
 const MIN_GOSSIP_ENTRIES: usize = 2;
-/// One entry for the ages of zones.
-const AGES_ENTRIES: usize = 1;
-// A part of the map that is asked for fits into one answer, or the rest of it would never be learned.
-const _: () = assert!(BATCH_CHUNKS + MIN_GOSSIP_ENTRIES + AGES_ENTRIES <= MAX_ENTRIES);
+/// Entries that the ages of zones occupy.
+const ZONE_AGES_ENTRIES: usize = 1;
+// A requested batch of the zone map has to fit into one datagram: what is omitted would never be learned.
+const _: () = assert!(BATCH_CHUNKS + MIN_GOSSIP_ENTRIES + ZONE_AGES_ENTRIES <= MAX_ENTRIES);
 
-/// What goes with a message.
+/// The entries piggybacked on a message.
 #[derive(Clone, Debug, Default)]
 struct Entries {
     updates: Vec<Update>,
     facts: Vec<Fact>,
     zone_chunks: Vec<MapChunk>,
-    wanted_batch: Option<MapBatch>,
+    requested_batch: Option<MapBatch>,
     digest: Option<Digest>,
 }
 
-/// Members that count, and the part of them in each zone.
+/// Number of counted members, and the share of them in each zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct MemberCounts {
     counted: usize,
     zone_shares: Vec<f64>,
 }
 
-/// One router's membership and facts, and what bounds its datagrams.
+/// One router's view of its tier: members, facts and zones, with the limits on its datagrams.
 pub struct Tier {
     limits: Limits,
     members: Members,
     facts: Facts,
     key: Option<Key>,
     zone: u8,
-    /// By the member's number.
+    /// Indexed by member number.
     senders: Vec<SenderState>,
-    /// Bounds the datagrams that are sent out of turn.
-    urgent: TokenBucket,
-    /// What is known of whole zones, where this router judges them.
+    /// Limits the datagrams that are sent outside the membership protocol's regular schedule.
+    urgent_tokens: TokenBucket,
+    /// Failure detector for whole zones; `None` if disabled.
     evidence: Option<ZoneEvidence>,
-    /// The version of the zone map by which the members' group statuses were last set.
+    /// Version of the zone map when the members' group statuses were last set.
     applied_map_version: u64,
-    /// A part of the zone map that the sender of the present datagram has asked for.
-    wanted_chunks: Option<WantedChunks>,
-    /// What the sender of the present datagram knows, and asks for more than.
+    /// The request for chunks of the zone map in the latest datagram, until it is answered.
+    chunk_request: Option<ChunkRequest>,
+    /// The request for missing primaries in the latest datagram, until it is answered.
     pull_request: Option<PullRequest>,
     next_pull_at: f64,
-    /// Whether the counts may differ from those that were last given.
+    /// Whether the counts may differ from those last reported.
     counts_changed: bool,
-    /// The counts that were last given as an event.
-    reported: MemberCounts,
+    /// The counts last reported as an event.
+    reported_counts: MemberCounts,
     dropped: Dropped,
     sent: Sent,
 }
 
 impl Tier {
-    /// A tier of which this router knows nothing yet but the roster.
+    /// Creates the state of a router that has just started and knows only the roster.
     pub fn new(identity: Identity, seed: u64, key: Option<Key>, limits: Limits) -> Result<Tier, RosterError> {
         let Identity { local, roster_size, zone, started_at } = identity;
         let members = Members::new(local, roster_size, started_at, seed, limits.members)?;
         let evidence = zones::evidence(&limits, zone, local, roster_size, started_at as f64);
         let zone = zone.unwrap_or(NO_ZONE);
         let mut senders = vec![SenderState::default(); roster_size];
-        if let Some(own) = senders.get_mut(usize::from(local)) {
-            own.zone = zone;
+        if let Some(local_sender) = senders.get_mut(usize::from(local)) {
+            local_sender.zone = zone;
         }
         Ok(Tier {
             members,
@@ -111,14 +111,14 @@
             key,
             zone,
             senders,
-            urgent: TokenBucket::new(limits.urgent_burst, limits.urgent_per_second),
+            urgent_tokens: TokenBucket::new(limits.urgent_burst, limits.urgent_per_second),
             evidence,
             applied_map_version: 0,
-            wanted_chunks: None,
+            chunk_request: None,
             pull_request: None,
             next_pull_at: f64::NEG_INFINITY,
             counts_changed: true,
-            reported: MemberCounts::default(),
+            reported_counts: MemberCounts::default(),
             dropped: Dropped::default(),
             sent: Sent::default(),
             limits,
@@ -130,7 +130,7 @@
         &self.members
     }
 
-    /// The facts that this router keeps.
+    /// The facts that this router has stored.
     pub fn facts(&self) -> &Facts {
         &self.facts
     }
@@ -145,12 +145,12 @@
         self.sent
     }
 
-    /// Advances the time; to be called some ten times a second.
+    /// Advances the time. To be called about ten times a second.
     pub fn tick(&mut self, now: f64) -> Output {
         let mut output = Output::default();
         self.tick_zones(now, &mut output);
         let actions = self.members.tick(now);
-        self.perform(now, actions, &mut output);
+        self.perform_actions(now, actions, &mut output);
         self.send_urgent(now, &mut output);
         self.pull_facts(now, &mut output);
         self.facts.remove_expired(now);
@@ -158,7 +158,7 @@
         output
     }
 
-    /// Takes in what this router has observed itself.
+    /// Records an observation that this router made itself.
     pub fn observe(&mut self, now: f64, observation: Observation) -> Output {
         let mut output = Output::default();
         if self.facts.observe(now, observation) {
@@ -167,42 +167,42 @@
         output
     }
 
-    /// Takes in a datagram from this member's address.
+    /// Processes a datagram received from the address of member `from`.
     pub fn receive(&mut self, now: f64, from: u16, bytes: &[u8]) -> Output {
         let mut output = Output::default();
         let Some(datagram) = self.accept(now, from, bytes) else { return output };
-        self.learn_zones(now, &datagram);
-        self.note_pull_request(&datagram);
+        self.process_zone_data(now, &datagram);
+        self.record_pull_request(&datagram);
         for fact in &datagram.facts {
             match self.facts.receive(now, *fact) {
-                Received::New => output.events.extend(self.event(now, fact)),
+                Received::New => output.events.extend(self.peer_fact(now, fact)),
                 Received::Known => {}
                 Received::Rejected => self.dropped.rejected_facts += 1,
             }
         }
         let Datagram { incarnation, message, updates, .. } = datagram;
         let actions = self.members.receive(now, from, incarnation, message, &updates);
-        self.perform(now, actions, &mut output);
+        self.perform_actions(now, actions, &mut output);
         self.send_urgent(now, &mut output);
         output
     }
 
-    /// Leaves the tier: tells some members, and sends nothing more afterwards.
+    /// Leaves the tier: announces it to some members. The membership protocol sends nothing afterwards.
     pub fn leave(&mut self, now: f64) -> Output {
         let mut output = Output::default();
         let actions = self.members.leave(self.limits.leave_fanout);
-        self.perform(now, actions, &mut output);
+        self.perform_actions(now, actions, &mut output);
         output
     }
 
-    /// Decodes a datagram and notes the sender's zone; counts it as dropped where it can't be accepted.
+    /// Checks and decodes a datagram and records the sender's zone; counts it as dropped if it is rejected.
     fn accept(&mut self, now: f64, from: u16, bytes: &[u8]) -> Option<Datagram> {
-        let own = from == self.members.local();
-        let Some(sender) = self.senders.get_mut(usize::from(from)).filter(|_| !own) else {
+        let is_own = from == self.members.local();
+        let Some(sender) = self.senders.get_mut(usize::from(from)).filter(|_| !is_own) else {
             self.dropped.stranger += 1;
             return None;
         };
-        if !sender.accepts(now, self.limits.max_received_per_second) {
+        if !sender.try_accept(now, self.limits.max_received_per_second) {
             self.dropped.too_many += 1;
             return None;
         }
@@ -223,8 +223,8 @@
         }
     }
 
-    /// What a new fact means for the router's decisions.
-    fn event(&self, now: f64, fact: &Fact) -> Option<PeerFact> {
+    /// The event to report for a new fact; `None` if it doesn't affect the router's decisions yet.
+    fn peer_fact(&self, now: f64, fact: &Fact) -> Option<PeerFact> {
         let observed_at = fact.observed_at;
         match fact.observation {
             Observation::Primary { group, host } => Some(PeerFact::Primary { group, host, observed_at }),
@@ -236,13 +236,13 @@
                 (reports >= self.limits.unresponsive_quorum).then_some(PeerFact::Unresponsive { host })
             }
             Observation::Slow { host, .. } => {
-                let slow = self.facts.latency_ratio(now, host)?;
-                Some(PeerFact::Slow { host, ratio: slow.ratio, reads: slow.reads })
+                let latency = self.facts.latency_ratio(now, host)?;
+                Some(PeerFact::Slow { host, ratio: latency.ratio, reads: latency.reads })
             }
         }
     }
 
-    fn perform(&mut self, now: f64, actions: Vec<Action>, output: &mut Output) {
+    fn perform_actions(&mut self, now: f64, actions: Vec<Action>, output: &mut Output) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(now, to, message, output),
@@ -253,9 +253,9 @@
                 }
                 Action::StateChanged { member, state: State::Dead | State::Left } => {
                     self.counts_changed = true;
-                    // A later process of this member is not held to what the earlier one sent.
+                    // The member's next process must not be limited by what this one has sent.
                     if let Some(sender) = self.senders.get_mut(usize::from(member)) {
-                        sender.reset_count();
+                        sender.reset_rate();
                     }
                 }
                 Action::StateChanged { state: State::Alive | State::Suspect, .. } => {
@@ -265,23 +265,23 @@
         }
     }
 
-    /// Sends a message with the entries that the receiver has asked for, and as many updates and facts as fit.
+    /// Sends a message with the entries that the recipient requested, and as many updates and facts as fit.
     fn send(&mut self, now: f64, to: u16, message: Message, output: &mut Output) {
-        let for_ages = if self.evidence.is_some() { AGES_ENTRIES } else { 0 };
-        let zone_chunks = self.take_wanted_chunks(to);
-        let room = MAX_ENTRIES - for_ages - zone_chunks.len();
-        let for_updates = self.members.pending_updates().min(self.limits.max_updates).min(room / 2);
-        let for_facts = room - for_updates;
-        let facts = match self.take_pulled_facts(now, to, for_facts) {
+        let age_entries = if self.evidence.is_some() { ZONE_AGES_ENTRIES } else { 0 };
+        let zone_chunks = self.take_requested_chunks(to);
+        let room = MAX_ENTRIES - age_entries - zone_chunks.len();
+        let reserved_for_updates = self.members.pending_updates().min(self.limits.max_updates).min(room / 2);
+        let max_facts = room - reserved_for_updates;
+        let facts = match self.take_pulled_facts(now, to, max_facts) {
             Some(missing) => missing,
-            None => self.facts.facts_to_send(now, for_facts),
+            None => self.facts.facts_to_send(now, max_facts),
         };
         let updates = self.members.updates_for(to, room - facts.len());
         let entries = Entries { updates, facts, zone_chunks, ..Entries::default() };
         self.send_entries(now, to, message, entries, output);
     }
 
-    /// Sends a message with these entries and the ages of the zones.
+    /// Sends a message with these entries and, if zones are monitored, their ages.
     fn send_entries(&mut self, now: f64, to: u16, message: Message, entries: Entries, output: &mut Output) {
         let datagram = Datagram {
             sender: self.members.local(),
@@ -292,7 +292,7 @@
             facts: entries.facts,
             zone_ages: self.evidence.as_ref().map(|evidence| evidence.ages(now)),
             zone_chunks: entries.zone_chunks,
-            wanted_batch: entries.wanted_batch,
+            requested_batch: entries.requested_batch,
             digest: entries.digest,
         };
         let mut bytes = Vec::new();
@@ -302,23 +302,23 @@
         output.datagrams.push(Outgoing { to, bytes });
     }
 
-    /// Sends new facts and updates to a few members at once, if the token bucket allows it.
+    /// Sends new facts and updates to a few members without delay, if the token bucket allows it.
     fn send_urgent(&mut self, now: f64, output: &mut Output) {
-        self.urgent.refill(now);
+        self.urgent_tokens.refill(now);
         let has_unsent = self.facts.has_unsent() || self.members.has_unsent_updates();
-        if !has_unsent || !self.urgent.has(self.limits.fanout as f64) {
+        if !has_unsent || !self.urgent_tokens.has_tokens(self.limits.fanout as f64) {
             return;
         }
         for to in self.gossip_targets(now, self.limits.fanout) {
-            self.urgent.take_one();
+            self.urgent_tokens.take_one();
             self.send(now, to, Message::Gossip, output);
         }
     }
 
-    /// At most `count` random members to gossip with, but for those whose zone may be lost.
+    /// At most `count` random members to gossip with, none of them in a zone that may be lost.
     fn gossip_targets(&mut self, now: f64, count: usize) -> Vec<u16> {
         let local = self.members.local();
-        // Up to half of the fleet may be in doubt.
+        // Draws twice as many as needed: up to half of the fleet may be in such zones.
         let mut targets = self.members.random_members(2 * count, [local, local]);
         if let Some(evidence) = &self.evidence {
             targets.retain(|member| !evidence.is_in_stale_zone(now, *member));
@@ -327,23 +327,23 @@
         targets
     }
 
-    /// Gives the number of members that count and their zones as an event, if they have changed.
+    /// Reports the number of counted members and their zone shares as an event, if they have changed.
     fn report_members(&mut self, output: &mut Output) {
         if !std::mem::take(&mut self.counts_changed) {
             return;
         }
         let counts = self.count_members();
-        if self.reported == counts {
+        if self.reported_counts == counts {
             return;
         }
-        self.reported = counts.clone();
+        self.reported_counts = counts.clone();
         output.events.push(PeerFact::Members { counted: counts.counted, zone_shares: counts.zone_shares });
     }
 
     fn count_members(&self) -> MemberCounts {
         let zone = |member: u16| {
-            let first_hand = self.senders.get(usize::from(member))?.known_zone();
-            first_hand.or_else(|| self.zone_map()?.zone(member).map(|zone| zone as u8))
+            let self_reported = self.senders.get(usize::from(member))?.known_zone();
+            self_reported.or_else(|| self.zone_map()?.zone(member).map(|zone| zone as u8))
         };
         let known: Vec<u8> = self.members.counted().filter_map(zone).collect();
         let mut zone_shares = vec![0.0; known.iter().max().map_or(0, |highest| usize::from(*highest) + 1)];
--- a/crates/tier/src/limits.rs
+++ b/crates/tier/src/limits.rs
@@ -1,31 +1,31 @@
-//! The settings of one router's part in its tier.
+//! The limits of one router's gossip.
 
-/// Sizes, counts and rates; times in ms.
+/// Fan-outs, rates and periods of gossip.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Settings of the membership protocol.
+    /// Limits of the membership protocol.
     pub members: magpiewell_members::Limits,
-    /// Settings of the facts that are kept and sent.
+    /// Limits of the fact store and its send queue.
     pub facts: magpiewell_facts::Limits,
-    /// Members that new facts are sent to at once.
+    /// Number of members to which new facts are sent immediately.
     pub fanout: usize,
-    /// Such urgent datagrams that may be sent together.
+    /// Capacity of the token bucket: immediate datagrams that may be sent in one burst.
     pub urgent_burst: f64,
-    /// Such urgent datagrams a second beyond the burst.
+    /// Refill rate of the token bucket: sustained immediate datagrams per second.
     pub urgent_per_second: f64,
-    /// Entries of one datagram that updates of members may take where facts wait as well.
+    /// Entries of one datagram reserved at most for member updates; facts may take the others.
     pub max_updates: usize,
-    /// Whether this router judges whole zones, and tells others how long it has heard nothing of each.
+    /// Whether to detect the loss of whole zones, and to gossip the age of each zone's latest sign of life.
     pub zone_evidence: bool,
-    /// Whether this router asks others for primaries that it lacks while primaries are changing.
+    /// Whether to request missing primaries from other routers while primaries are changing.
     pub pull_facts: bool,
-    /// One such request goes out so often, in ms, while the token bucket has room for it and its answer.
+    /// Interval between such requests, in ms. Each also needs tokens for itself and its response.
     pub pull_period_ms: f64,
-    /// Datagrams of one sender that are accepted a second.
+    /// Maximum number of datagrams accepted from one sender per second.
     pub max_received_per_second: u32,
-    /// Members that are told that this router leaves.
+    /// Number of members to which this router announces that it leaves.
     pub leave_fanout: usize,
-    /// Other routers that must report a host as unresponsive before it is passed on.
+    /// Number of other routers that must report a host as unresponsive before an event is emitted.
     pub unresponsive_quorum: usize,
 }
 
--- a/crates/tier/src/tests.rs
+++ b/crates/tier/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tiers of up to a thousand in virtual time, with the datagrams as they are written.
+//! Tests of simulated tiers in virtual time that exchange encoded datagrams.
 
 use super::*;
 use proptest::prelude::*;
@@ -10,41 +10,41 @@
 const START: f64 = 1_796_000_000_000.0;
 const TICK: f64 = 100.0;
 
-struct Net {
+struct SimulatedNetwork {
     now: f64,
     tiers: Vec<Option<Tier>>,
     in_flight: BTreeMap<(u64, u64), (u16, u16, Vec<u8>)>,
     random: ChaCha8Rng,
     loss: f64,
     datagrams: u64,
-    /// When each router first heard of a group's primary.
-    knows: Vec<Option<f64>>,
+    /// When each router first received a fact about a primary.
+    learned_at: Vec<Option<f64>>,
     events: Vec<Vec<PeerFact>>,
 }
 
-fn one(me: usize, of: usize, seed: u64) -> Tier {
-    let zone = Some((me % 3) as u8);
-    let identity = Identity { local: me as u16, roster_size: of, zone, started_at: START as u64 };
-    Tier::new(identity, seed * 10_000 + me as u64, Some(Key::new(b"k")), Limits::default()).unwrap()
+fn new_tier(index: usize, size: usize, seed: u64) -> Tier {
+    let zone = Some((index % 3) as u8);
+    let identity = Identity { local: index as u16, roster_size: size, zone, started_at: START as u64 };
+    Tier::new(identity, seed * 10_000 + index as u64, Some(Key::new(b"k")), Limits::default()).unwrap()
 }
 
-impl Net {
-    fn new(of: usize, seed: u64, loss: f64) -> Net {
-        Net {
+impl SimulatedNetwork {
+    fn new(size: usize, seed: u64, loss: f64) -> SimulatedNetwork {
+        SimulatedNetwork {
             now: START,
-            tiers: (0..of).map(|me| Some(one(me, of, seed))).collect(),
+            tiers: (0..size).map(|index| Some(new_tier(index, size, seed))).collect(),
             in_flight: BTreeMap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             loss,
             datagrams: 0,
-            knows: vec![None; of],
-            events: vec![Vec::new(); of],
+            learned_at: vec![None; size],
+            events: vec![Vec::new(); size],
         }
     }
 
-    fn carry(&mut self, from: usize, output: Output) {
+    fn dispatch(&mut self, from: usize, output: Output) {
         if output.events.iter().any(|t| matches!(t, PeerFact::Primary { .. })) {
-            self.knows[from] = self.knows[from].or(Some(self.now));
+            self.learned_at[from] = self.learned_at[from].or(Some(self.now));
         }
         self.events[from].extend(output.events);
         for datagram in output.datagrams {
@@ -71,24 +71,24 @@
                 let now = self.now;
                 if let Some(tier) = &mut self.tiers[to as usize] {
                     let output = tier.receive(now, from, &bytes);
-                    self.carry(to as usize, output);
+                    self.dispatch(to as usize, output);
                 }
             }
             // Ticks of different routers fall at different times.
             let phase = (self.now - START) % TICK;
-            for who in 0..self.tiers.len() {
+            for member in 0..self.tiers.len() {
                 let now = self.now;
-                if (who % 5) as f64 * 20.0 == phase
-                    && let Some(tier) = &mut self.tiers[who]
+                if (member % 5) as f64 * 20.0 == phase
+                    && let Some(tier) = &mut self.tiers[member]
                 {
                     let output = tier.tick(now);
-                    self.carry(who, output);
+                    self.dispatch(member, output);
                 }
             }
         }
     }
 
-    /// Datagrams a second and router so far.
+    /// Datagrams sent per second and router so far.
     fn rate(&self) -> f64 {
         let sent: u64 = self.tiers.iter().flatten().map(|t| t.sent().datagrams).sum();
         sent as f64 / self.tiers.len() as f64 / ((self.now - START) / 1e3)
@@ -96,15 +96,15 @@
 }
 
 #[test]
-fn a_quiet_tier_sends_two_a_second_at_most_and_knows_its_zones() {
-    for (of, seconds) in [(3, 30.0), (30, 30.0), (300, 12.0)] {
-        let mut net = Net::new(of, 1, 0.0);
-        net.run(seconds * 1e3);
-        assert!((1.0..2.0).contains(&net.rate()), "{of}: {}", net.rate());
-        let last = net.events[0].iter().rev().find(|t| matches!(t, PeerFact::Members { .. }));
+fn idle_routers_send_less_than_two_datagrams_per_second_and_learn_all_zones() {
+    for (size, seconds) in [(3, 30.0), (30, 30.0), (300, 12.0)] {
+        let mut network = SimulatedNetwork::new(size, 1, 0.0);
+        network.run(seconds * 1e3);
+        assert!((1.0..2.0).contains(&network.rate()), "{size}: {}", network.rate());
+        let last = network.events[0].iter().rev().find(|t| matches!(t, PeerFact::Members { .. }));
         let Some(PeerFact::Members { counted, zone_shares }) = last else { panic!("{last:?}") };
         assert!(
-            *counted == of
+            *counted == size
                 && zone_shares.len() == 3
                 && zone_shares.iter().all(|z| (z - 1.0 / 3.0).abs() < 0.15),
             "{zone_shares:?}"
@@ -113,62 +113,71 @@
 }
 
 #[test]
-fn what_one_sees_all_know_soon_though_three_in_ten_are_lost() {
-    // A thousand takes minutes in a debug build; its figure is measured by `prove`.
+fn facts_spread_quickly_despite_30_percent_loss() {
+    // 1,000 routers take minutes in a debug build; `magpiewell-fleet prove` measures larger fleets.
     for seed in [1, 2] {
-        let mut net = Net::new(300, seed, 0.3);
-        net.run(2_000.0);
-        let output =
-            net.tiers[7].as_mut().unwrap().observe(net.now, Observation::Primary { group: 1, host: 2 });
-        net.carry(7, output);
-        let from = net.now;
-        net.run(6_000.0);
-        let mut took: Vec<f64> = net.knows.iter().flatten().map(|at| at - from).collect();
-        took.sort_by(f64::total_cmp);
-        assert!(took.len() >= 295, "{}", took.len());
-        assert!(took[200] < 2_000.0, "two in three after {} ms", took[200]);
+        let mut network = SimulatedNetwork::new(300, seed, 0.3);
+        network.run(2_000.0);
+        let output = network.tiers[7]
+            .as_mut()
+            .unwrap()
+            .observe(network.now, Observation::Primary { group: 1, host: 2 });
+        network.dispatch(7, output);
+        let observed_at = network.now;
+        network.run(6_000.0);
+        let mut delays: Vec<f64> = network.learned_at.iter().flatten().map(|at| at - observed_at).collect();
+        delays.sort_by(f64::total_cmp);
+        assert!(delays.len() >= 295, "{}", delays.len());
+        assert!(delays[200] < 2_000.0, "two thirds after {} ms", delays[200]);
     }
 }
 
-/// A zone's cut: every router loss forty hosts in the same second. What that costs is bounded, and who is
-/// told by too few is not moved.
+/// A zone is cut off: every router loses forty hosts in the same second. The token bucket bounds the traffic,
+/// and although some reports then stay below the quorum, every router is notified of an unresponsive host.
 #[test]
-fn when_all_see_the_same_at_once_the_bucket_bounds_what_is_said() {
-    let mut net = Net::new(60, 3, 0.0);
-    net.run(3_000.0);
-    let before: u64 = net.tiers.iter().flatten().map(|t| t.sent().datagrams).sum();
-    for who in 0..60 {
+fn token_bucket_bounds_traffic_when_all_routers_observe_the_same() {
+    let mut network = SimulatedNetwork::new(60, 3, 0.0);
+    network.run(3_000.0);
+    let before: u64 = network.tiers.iter().flatten().map(|t| t.sent().datagrams).sum();
+    for member in 0..60 {
         for host in 0..40 {
-            let output =
-                net.tiers[who].as_mut().unwrap().observe(net.now, Observation::Unresponsive { host });
-            net.carry(who, output);
+            let output = network.tiers[member]
+                .as_mut()
+                .unwrap()
+                .observe(network.now, Observation::Unresponsive { host });
+            network.dispatch(member, output);
         }
     }
-    net.run(5_000.0);
-    let each = (net.tiers.iter().flatten().map(|t| t.sent().datagrams).sum::<u64>() - before) as f64 / 60.0;
+    network.run(5_000.0);
+    let sent_per_router =
+        (network.tiers.iter().flatten().map(|t| t.sent().datagrams).sum::<u64>() - before) as f64 / 60.0;
     let limits = Limits::default();
-    assert!(each < limits.urgent_burst + 5.0 * (limits.urgent_per_second + 2.5), "{each}");
-    let reported =
-        |who: usize| net.events[who].iter().filter(|t| matches!(t, PeerFact::Unresponsive { .. })).count();
-    assert!((0..60).all(|who| reported(who) > 0));
+    assert!(
+        sent_per_router < limits.urgent_burst + 5.0 * (limits.urgent_per_second + 2.5),
+        "{sent_per_router}"
+    );
+    let reported = |member: usize| {
+        network.events[member].iter().filter(|t| matches!(t, PeerFact::Unresponsive { .. })).count()
+    };
+    assert!((0..60).all(|member| reported(member) > 0));
 }
 
 #[test]
-fn strangers_liars_and_floods_cost_their_sender_alone() {
-    let mut tier = one(0, 4, 1);
-    let other = one(1, 4, 1).members().incarnation();
-    let said = |from: u16, at: f64, observation| {
+fn unacceptable_and_excess_datagrams_affect_only_their_sender() {
+    let mut tier = new_tier(0, 4, 1);
+    let other_incarnation = new_tier(1, 4, 1).members().incarnation();
+    let encoded = |from: u16, at: f64, observation| {
         let facts = vec![Fact { observation, origin: from, observed_at: at }];
         let datagram = Datagram {
             sender: from,
             zone: 1,
-            incarnation: other,
+            incarnation: other_incarnation,
             message: Message::Gossip,
             updates: Vec::new(),
             facts,
             zone_ages: None,
             zone_chunks: Vec::new(),
-            wanted_batch: None,
+            requested_batch: None,
             digest: None,
         };
         let mut bytes = Vec::new();
@@ -176,48 +185,48 @@
         bytes
     };
     let unresponsive = Observation::Unresponsive { host: 9 };
-    // Not in the roster, itself, or in another's name.
+    // From outside the roster, from the router itself, and with another member's number.
     for (from, bytes) in [
-        (9, said(9, START, unresponsive)),
-        (0, said(0, START, unresponsive)),
-        (2, said(1, START, unresponsive)),
+        (9, encoded(9, START, unresponsive)),
+        (0, encoded(0, START, unresponsive)),
+        (2, encoded(1, START, unresponsive)),
     ] {
         assert_eq!(tier.receive(START, from, &bytes), Output::default());
     }
     assert_eq!(tier.receive(START, 1, b"noise"), Output::default());
-    // Of the future: passed over.
-    tier.receive(START, 1, &said(1, START + 60_000.0, unresponsive));
+    // A fact dated in the future is rejected.
+    tier.receive(START, 1, &encoded(1, START + 60_000.0, unresponsive));
     assert_eq!(
         (tier.dropped().stranger, tier.dropped().unreadable, tier.dropped().rejected_facts),
         (3, 1, 1)
     );
-    // One alone, however often, makes nobody move; a second one does.
+    // Repeated reports by one router don't reach the quorum; a report by a second router does.
     let events = |output: Output| {
         output.events.into_iter().filter(|t| matches!(t, PeerFact::Unresponsive { .. })).count()
     };
     assert_eq!(
         (0..9)
-            .map(|n| events(tier.receive(START, 1, &said(1, START + f64::from(n), unresponsive))))
+            .map(|n| events(tier.receive(START, 1, &encoded(1, START + f64::from(n), unresponsive))))
             .sum::<usize>(),
         0
     );
-    assert_eq!(events(tier.receive(START, 2, &said(2, START, unresponsive))), 1);
-    // A flood is not taken in, and others are.
-    (0..500).for_each(|_| drop(tier.receive(START + 1.0, 1, &said(1, START, unresponsive))));
+    assert_eq!(events(tier.receive(START, 2, &encoded(2, START, unresponsive))), 1);
+    // Datagrams beyond one sender's rate are dropped, those of others are accepted.
+    (0..500).for_each(|_| drop(tier.receive(START + 1.0, 1, &encoded(1, START, unresponsive))));
     assert!(tier.dropped().too_many > 400);
-    assert_eq!(events(tier.receive(START + 2.0, 3, &said(3, START, unresponsive))), 1);
-    // Without the key.
+    assert_eq!(events(tier.receive(START + 2.0, 3, &encoded(3, START, unresponsive))), 1);
+    // Encoded without the key.
     let mut bytes = Vec::new();
     let datagram = Datagram {
         sender: 3,
         zone: 1,
-        incarnation: other,
+        incarnation: other_incarnation,
         message: Message::Gossip,
         updates: vec![],
         facts: vec![],
         zone_ages: None,
         zone_chunks: vec![],
-        wanted_batch: None,
+        requested_batch: None,
         digest: None,
     };
     encode(&datagram, None, &mut bytes);
@@ -226,24 +235,25 @@
 }
 
 #[test]
-fn who_leaves_is_missed_by_nobody_and_counted_no_more() {
-    let mut net = Net::new(12, 5, 0.0);
-    net.run(4_000.0);
-    let output = net.tiers[4].as_mut().unwrap().leave(net.now);
-    net.carry(4, output);
-    net.tiers[4] = None;
-    net.run(5_000.0);
-    for who in (0..12).filter(|w| *w != 4) {
-        assert_eq!(net.tiers[who].as_ref().unwrap().members().state(4), State::Left);
-        let last = net.events[who].iter().rev().find(|t| matches!(t, PeerFact::Members { .. }));
+fn member_that_leaves_is_not_declared_dead_and_no_longer_counted() {
+    let mut network = SimulatedNetwork::new(12, 5, 0.0);
+    network.run(4_000.0);
+    let output = network.tiers[4].as_mut().unwrap().leave(network.now);
+    network.dispatch(4, output);
+    network.tiers[4] = None;
+    network.run(5_000.0);
+    for member in (0..12).filter(|member| *member != 4) {
+        assert_eq!(network.tiers[member].as_ref().unwrap().members().state(4), State::Left);
+        let last = network.events[member].iter().rev().find(|t| matches!(t, PeerFact::Members { .. }));
         assert!(matches!(last, Some(PeerFact::Members { counted: 11, .. })), "{last:?}");
     }
 }
 
-/// One router knows forty new primaries and has stopped telling them; another has just heard of the first and pulls the
-/// rest. What it knows already isn't sent to it, and it asks for nothing once primaries have stopped changing.
+/// One router knows forty new primaries and no longer gossips them; another has just learned the first one
+/// and pulls the rest. Responses omit what the digest shows as known, and requests cease once primaries have
+/// stopped changing.
 #[test]
-fn what_a_router_lacks_it_pulls_while_primaries_change() {
+fn missing_primaries_are_pulled_while_primaries_change() {
     const GROUPS: u32 = 40;
     let router = |local, pull_facts| {
         let identity = Identity { local, roster_size: 2, zone: Some(0), started_at: START as u64 };
@@ -251,8 +261,8 @@
     };
     let known =
         |tier: &Tier, now| (0..GROUPS).filter(|group| tier.facts().primary(now, *group).is_some()).count();
-    for pulls in [true, false] {
-        let (mut informed, mut asking) = (router(0, false), router(1, pulls));
+    for is_pulling in [true, false] {
+        let (mut informed, mut asking) = (router(0, false), router(1, is_pulling));
         for group in 0..GROUPS {
             informed.observe(START, Observation::Primary { group, host: group });
         }
@@ -273,30 +283,36 @@
             }
         }
         let now = START + 150.0 * TICK;
-        assert_eq!(known(&asking, now), if pulls { 40 } else { 1 }, "pulls: {pulls}");
-        // For five seconds after the last news, one in 625 ms.
-        assert!(if pulls { (3..=16).contains(&digests) } else { digests == 0 }, "{digests}");
+        assert_eq!(known(&asking, now), if is_pulling { 40 } else { 1 }, "pulls: {is_pulling}");
+        // One request per 625 ms until five seconds after the last primary was learned.
+        assert!(if is_pulling { (3..=16).contains(&digests) } else { digests == 0 }, "{digests}");
     }
 }
 
-fn set() -> Config {
+fn config() -> Config {
     Config { cases: 128, rng_seed: RngSeed::Fixed(43), failure_persistence: None, ..Config::default() }
 }
 
 proptest! {
-    #![proptest_config(set())]
+    #![proptest_config(config())]
 
     #[test]
-    fn any_bytes_from_anybody_are_survived(
-        all in prop::collection::vec((0u16..6, prop::collection::vec(any::<u8>(), 0..300)), 0..60),
+    fn arbitrary_datagrams_from_any_sender_are_handled(
+        datagrams in prop::collection::vec((0u16..6, prop::collection::vec(any::<u8>(), 0..300)), 0..60),
         zone_evidence in any::<bool>()
     ) {
         let identity = Identity { local: 0, roster_size: 4, zone: None, started_at: 1 };
-        let mut tier = Tier::new(identity, 1, None, Limits { zone_evidence, pull_facts: zone_evidence, ..Limits::default() }).unwrap();
-        for (no, (from, bytes)) in all.into_iter().enumerate() {
-            let output = tier.receive(START + no as f64 * 37.0, from, &bytes);
+        let mut tier = Tier::new(
+            identity,
+            1,
+            None,
+            Limits { zone_evidence, pull_facts: zone_evidence, ..Limits::default() },
+        )
+        .unwrap();
+        for (number, (from, bytes)) in datagrams.into_iter().enumerate() {
+            let output = tier.receive(START + number as f64 * 37.0, from, &bytes);
             prop_assert!(output.datagrams.len() <= 8);
-            tier.tick(START + no as f64 * 37.0);
+            tier.tick(START + number as f64 * 37.0);
         }
     }
 }
--- a/crates/tier/src/token_bucket.rs
+++ b/crates/tier/src/token_bucket.rs
@@ -1,6 +1,6 @@
-//! A token bucket: bounds how much is sent at once and over time.
+//! A token bucket: limits bursts and the sustained rate of datagrams.
 
-/// The most time that one refill counts, in ms.
+/// Maximum time that one refill accounts for.
 const MAX_REFILL_MS: f64 = 60_000.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -12,7 +12,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(capacity: f64, tokens_per_second: f64) -> TokenBucket {
         TokenBucket { capacity, tokens_per_second, tokens: capacity, refilled_at: f64::NEG_INFINITY }
     }
@@ -24,8 +24,8 @@
         self.refilled_at = now;
     }
 
-    /// Whether there are at least so many tokens.
-    pub fn has(&self, tokens: f64) -> bool {
+    /// Whether the bucket holds at least this many tokens.
+    pub fn has_tokens(&self, tokens: f64) -> bool {
         self.tokens >= tokens
     }
 
--- a/crates/tier/src/zones.rs
+++ b/crates/tier/src/zones.rs
@@ -1,4 +1,4 @@
-//! What this router knows of whole zones, and how it bears on the members in them.
+//! Failure detection of whole zones, and its effect on the members in them.
 
 use crate::{Entries, Limits, Output, Tier, ZoneChange};
 use magpiewell_members::GroupStatus;
@@ -6,14 +6,14 @@
 use magpiewell_zones::Limits as ZoneLimits;
 use magpiewell_zones::{Change, MapBatch, MapChunk, Reachability, ZoneEvidence, ZoneMap};
 
-/// A part of the zone map that a member has asked for, to go with the next datagram to it.
+/// A member's request for a batch of the zone map, answered with the next datagram to it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WantedChunks {
+pub(crate) struct ChunkRequest {
     pub member: u16,
     pub batch: MapBatch,
 }
 
-/// The evidence of a router that judges zones; none where the limits say that it doesn't.
+/// Creates the zone failure detector; `None` if the limits disable it.
 pub(crate) fn evidence(
     limits: &Limits,
     zone: Option<u8>,
@@ -32,18 +32,18 @@
 }
 
 impl Tier {
-    /// What is believed of a zone as a whole.
+    /// The believed reachability of a zone. Always reachable if zones are not monitored.
     pub fn reachability(&self, zone: usize) -> Reachability {
         self.evidence.as_ref().map_or(Reachability::Reachable, |evidence| evidence.reachability(zone))
     }
 
-    /// The map of zones, where this router judges them.
+    /// The zones of the members; `None` if zones are not monitored.
     pub fn zone_map(&self) -> Option<&ZoneMap> {
         self.evidence.as_ref().map(|evidence| evidence.map())
     }
 
-    /// Takes in what a member's datagram says of zones.
-    pub(crate) fn learn_zones(&mut self, now: f64, datagram: &Datagram) {
+    /// Processes the zone data in a member's datagram.
+    pub(crate) fn process_zone_data(&mut self, now: f64, datagram: &Datagram) {
         let Some(evidence) = &mut self.evidence else { return };
         let zone = (datagram.zone != NO_ZONE).then_some(datagram.zone);
         evidence.observe_member(now, datagram.sender, zone);
@@ -51,27 +51,27 @@
         if let Some(ages) = &datagram.zone_ages {
             evidence.merge_ages(now, ages);
         }
-        let wanted = |batch| WantedChunks { member: datagram.sender, batch };
-        self.wanted_chunks = datagram.wanted_batch.map(wanted);
+        let request = |batch| ChunkRequest { member: datagram.sender, batch };
+        self.chunk_request = datagram.requested_batch.map(request);
     }
 
-    /// Advances the evidence of zones, and has the members' states follow it.
+    /// Advances the zone failure detector and applies changes to the members' group statuses.
     pub(crate) fn tick_zones(&mut self, now: f64, output: &mut Output) {
         let Some(evidence) = &mut self.evidence else { return };
         let changes = evidence.tick(now);
-        let reported = |change: &Change| ZoneChange {
+        let zone_change = |change: &Change| ZoneChange {
             zone: change.zone,
             reachability: change.reachability,
             members: evidence.map().size(change.zone),
         };
-        output.zone_changes.extend(changes.iter().map(reported));
+        output.zone_changes.extend(changes.iter().map(zone_change));
         let version = evidence.map().version();
         let has_new_members = evidence.is_any_silent() && version != self.applied_map_version;
         if !changes.is_empty() || has_new_members {
             self.applied_map_version = version;
             self.update_group_statuses();
         }
-        self.ping_doubtful_zone(now, output);
+        self.ping_stale_zone(now, output);
         self.request_map(now, output);
     }
 
@@ -89,32 +89,32 @@
         self.counts_changed = true;
     }
 
-    /// Pings a member of a zone that has not been heard for a while, besides the regular probes.
-    fn ping_doubtful_zone(&mut self, now: f64, output: &mut Output) {
+    /// Pings a member of a zone whose latest sign of life is stale, in addition to the regular probes.
+    fn ping_stale_zone(&mut self, now: f64, output: &mut Output) {
         let draw = self.members.random_number();
         let Some(evidence) = &mut self.evidence else { return };
         let Some(target) = evidence.direct_ping(now, draw) else { return };
-        // Without updates and facts: nobody may be there to read them.
+        // Without updates and facts: the zone may be lost, and their transmissions would be wasted.
         let message = self.members.ping();
         self.send_entries(now, target, message, Entries::default(), output);
     }
 
-    /// Asks some member for a part of the map of zones, as long as it isn't known whole.
+    /// Requests a batch of the zone map from a random member while the map is incomplete.
     fn request_map(&mut self, now: f64, output: &mut Output) {
         let Some(evidence) = &mut self.evidence else { return };
         let Some(batch) = evidence.map_request(now) else { return };
         let local = self.members.local();
         for to in self.members.random_members(1, [local, local]) {
             let message = self.members.ping();
-            let entries = Entries { wanted_batch: Some(batch), ..Entries::default() };
+            let entries = Entries { requested_batch: Some(batch), ..Entries::default() };
             self.send_entries(now, to, message, entries, output);
         }
     }
 
-    /// The parts of the map that this member has asked for, if this datagram is the answer.
-    pub(crate) fn take_wanted_chunks(&mut self, to: u16) -> Vec<MapChunk> {
-        let wanted = self.wanted_chunks.take_if(|wanted| wanted.member == to);
+    /// Takes the pending request of member `to` and returns the requested chunks of the zone map.
+    pub(crate) fn take_requested_chunks(&mut self, to: u16) -> Vec<MapChunk> {
+        let request = self.chunk_request.take_if(|request| request.member == to);
         let map = self.evidence.as_ref().map(|evidence| evidence.map());
-        wanted.zip(map).map(|(wanted, map)| map.chunks(wanted.batch)).unwrap_or_default()
+        request.zip(map).map(|(request, map)| map.chunks(request.batch)).unwrap_or_default()
     }
 }
