--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The fleet: all simulated routers, the network between them, and the virtual clock that moves them in small steps.
-//! Routers of one step are computed on several threads; the result doesn't depend on how many.
+//! The fleet: all simulated routers, the network between them, and the virtual clock that advances them in
+//! fixed time steps. The routers of a step are computed on several threads; the result doesn't depend on the
+//! number of threads.
 
 use crate::network::{Datagram, Links, Network};
 use crate::random;
@@ -7,13 +8,13 @@
 use magpiewell_members::RosterError;
 use magpiewell_tier::{Limits, Outgoing};
 
-/// One step of virtual time, in ms.
+/// Length of a step of virtual time.
 pub const STEP_MS: f64 = 10.0;
-/// The virtual time at which a run begins, in Unix ms.
+/// Virtual time at the start of a run, in Unix ms.
 const EPOCH_MS: f64 = 1_796_000_000_000.0;
 const STEPS_PER_TICK: u64 = (TICK_MS / STEP_MS) as u64;
 
-/// What a fleet is made from.
+/// Size, limits and conditions of a simulated fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub routers: usize,
@@ -21,19 +22,19 @@
     pub seed: u64,
     pub links: Links,
     pub limits: Limits,
-    /// Threads that compute a step.
+    /// Number of threads that compute a step.
     pub threads: usize,
 }
 
-/// A place in the fleet: a router process, and what is done to it.
+/// A member of the roster: its router process, if one is running, and the conditions imposed on it.
 struct Slot {
     identity: Identity,
-    clock_offset: f64,
+    clock_offset_ms: f64,
     router: Option<Router>,
     paused: bool,
     inbox: Vec<Datagram>,
     sent: Vec<Datagram>,
-    /// Datagrams and bytes sent by all processes that ran here.
+    /// Traffic sent by all processes of this member so far.
     traffic: Traffic,
 }
 
@@ -44,6 +45,7 @@
     pub bytes: u64,
 }
 
+/// A simulated fleet at one point in virtual time.
 pub struct Fleet {
     plan: Plan,
     step: u64,
@@ -52,7 +54,7 @@
 }
 
 impl Fleet {
-    /// All routers start within one probe period.
+    /// Starts all routers at once; their timers are out of phase by up to a tick.
     pub fn start(plan: Plan) -> Result<Fleet, RosterError> {
         let slots = (0..plan.routers)
             .map(|number| Slot {
@@ -62,7 +64,7 @@
                     zone: (number % plan.zones) as u8,
                     seed: random::number(plan.seed, &[number as u64]),
                 },
-                clock_offset: 0.0,
+                clock_offset_ms: 0.0,
                 router: None,
                 paused: false,
                 inbox: Vec::new(),
@@ -108,39 +110,39 @@
         self.slots[number].router.as_ref()
     }
 
-    /// Starts a new process in this place.
+    /// Starts a new process of this member. One that is still running is replaced.
     pub fn start_router(&mut self, number: usize) -> Result<(), RosterError> {
         let now = self.now();
         let slot = &mut self.slots[number];
         slot.paused = false;
-        slot.router = Some(Router::start(slot.identity, now, slot.clock_offset, self.plan.limits)?);
+        slot.router = Some(Router::start(slot.identity, now, slot.clock_offset_ms, self.plan.limits)?);
         Ok(())
     }
 
-    /// Ends the process in this place without a word.
+    /// Kills this member's process, which does not announce that it leaves.
     pub fn kill(&mut self, number: usize) {
         self.slots[number].router = None;
     }
 
-    /// Stops the process's execution, or lets it go on.
+    /// Pauses or resumes the process, like SIGSTOP and SIGCONT.
     pub fn set_paused(&mut self, number: usize, paused: bool) {
         self.slots[number].paused = paused;
     }
 
-    /// Sets the clock that processes started from now on have.
-    pub fn set_clock_offset(&mut self, number: usize, offset: f64) {
-        self.slots[number].clock_offset = offset;
+    /// Sets the clock offset of processes that are started from now on.
+    pub fn set_clock_offset(&mut self, number: usize, offset_ms: f64) {
+        self.slots[number].clock_offset_ms = offset_ms;
     }
 
-    /// A router sees a group's primary.
-    pub fn sees_primary(&mut self, number: usize, group: u32, host: u32) {
+    /// Makes a router observe a host as a group's primary.
+    pub fn observe_primary(&mut self, number: usize, group: u32, host: u32) {
         let now = self.now();
         let slot = &mut self.slots[number];
         if let Some(router) = &mut slot.router {
-            let outgoing = router.sees_primary(now, group, host);
-            slot.take(outgoing);
+            let outgoing = router.observe_primary(now, group, host);
+            slot.queue_outgoing(outgoing);
         }
-        self.collect_sent();
+        self.transmit_sent();
     }
 
     /// Datagrams and bytes sent by all routers so far.
@@ -151,7 +153,7 @@
         })
     }
 
-    /// Lets so much virtual time pass.
+    /// Advances virtual time by `ms`.
     pub fn run_ms(&mut self, ms: f64) {
         for _ in 0..(ms / STEP_MS).round() as u64 {
             self.advance();
@@ -160,12 +162,12 @@
 
     fn advance(&mut self) {
         self.step += 1;
-        for datagram in self.network.arriving(self.step) {
+        for datagram in self.network.take_arrivals(self.step) {
             self.slots[usize::from(datagram.to)].inbox.push(datagram);
         }
         let (step, now) = (self.step, self.now());
         self.advance_routers(step, now);
-        self.collect_sent();
+        self.transmit_sent();
     }
 
     fn advance_routers(&mut self, step: u64, now: f64) {
@@ -173,15 +175,15 @@
         if threads == 1 {
             return self.slots.iter_mut().for_each(|slot| slot.advance(step, now));
         }
-        let per_thread = self.slots.len().div_ceil(threads).max(1);
+        let slots_per_thread = self.slots.len().div_ceil(threads).max(1);
         std::thread::scope(|scope| {
-            for slots in self.slots.chunks_mut(per_thread) {
+            for slots in self.slots.chunks_mut(slots_per_thread) {
                 scope.spawn(move || slots.iter_mut().for_each(|slot| slot.advance(step, now)));
             }
         });
     }
 
-    fn collect_sent(&mut self) {
+    fn transmit_sent(&mut self) {
         for slot in &mut self.slots {
             for datagram in slot.sent.drain(..) {
                 self.network.send(self.step, datagram);
@@ -193,35 +195,35 @@
 impl Slot {
     fn advance(&mut self, step: u64, now: f64) {
         if self.paused {
-            // What arrives waits in the socket's buffer, which is bounded.
-            self.inbox.truncate(SOCKET_BUFFER);
+            // Arriving datagrams stay in the socket's buffer, which is bounded.
+            self.inbox.truncate(SOCKET_BUFFER_DATAGRAMS);
             return;
         }
         let inbox = std::mem::take(&mut self.inbox);
         for datagram in inbox {
             let Some(router) = &mut self.router else { return };
             let outgoing = router.receive(now, datagram.from, &datagram.bytes);
-            self.take(outgoing);
+            self.queue_outgoing(outgoing);
         }
-        // Routers' timers are out of phase with one another.
+        // The routers' timers are out of phase with one another.
         let phase = self.identity.seed % STEPS_PER_TICK;
         if step % STEPS_PER_TICK != phase {
             return;
         }
         if let Some(router) = &mut self.router {
             let outgoing = router.tick(now);
-            self.take(outgoing);
+            self.queue_outgoing(outgoing);
         }
     }
 
-    fn take(&mut self, outgoing: Vec<Outgoing>) {
-        for one in outgoing {
+    fn queue_outgoing(&mut self, outgoing: Vec<Outgoing>) {
+        for datagram in outgoing {
             self.traffic.datagrams += 1;
-            self.traffic.bytes += one.bytes.len() as u64;
-            self.sent.push(Datagram { from: self.identity.number, to: one.to, bytes: one.bytes });
+            self.traffic.bytes += datagram.bytes.len() as u64;
+            self.sent.push(Datagram { from: self.identity.number, to: datagram.to, bytes: datagram.bytes });
         }
     }
 }
 
-/// Datagrams that wait at a paused process, at the most.
-const SOCKET_BUFFER: usize = 256;
+/// Maximum number of datagrams that the socket of a paused process buffers.
+const SOCKET_BUFFER_DATAGRAMS: usize = 256;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,6 @@
-//! A simulation in virtual time of a whole fleet of routers: each runs the real membership, fact and datagram code, the
-//! network between them delays, loses and parts. It measures what the routers believe against what is true, at sizes
-//! that no machine could run as processes.
+//! A simulation of a whole fleet of routers in virtual time. Each router runs the real membership, fact and
+//! datagram code; the simulated network delays and loses datagrams and can be partitioned. The simulation
+//! compares what the routers believe with the true state, at sizes that no machine could run as processes.
 
 pub mod fleet;
 pub mod measure;
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -1,4 +1,4 @@
-//! `magpiewell-fleet`: plays scenarios on a simulated fleet and prints what was measured.
+//! `magpiewell-fleet`: plays scenarios on a simulated fleet and prints the measured figures.
 
 use clap::{Parser, Subcommand};
 use magpiewell_fleet::prove::{self, Aim};
@@ -9,23 +9,24 @@
 
 #[derive(Parser)]
 #[command(name = "magpiewell-fleet", about = "A simulated fleet of routers in virtual time")]
-struct Command {
+struct Cli {
     #[command(subcommand)]
-    command: What,
+    command: Action,
+    /// Seed of all random numbers
     #[arg(long, default_value_t = 1, global = true)]
     seed: u64,
-    /// Threads that compute the routers
+    /// Number of threads that compute the routers
     #[arg(long, default_value_t = 4, global = true)]
     threads: usize,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Action {
     /// Plays one scenario and prints all figures
     Play(Play),
-    /// Plays all scenarios at several sizes against the aims, and the control, which must miss one
+    /// Plays the scenarios at several fleet sizes and checks the aims; the control has to miss one
     Prove {
-        /// Sizes of the fleet
+        /// Fleet sizes, in routers
         #[arg(long, value_delimiter = ',', default_value = "300,1200,4800")]
         routers: Vec<usize>,
     },
@@ -33,39 +34,39 @@
 
 #[derive(clap::Args)]
 struct Play {
-    /// What happens
+    /// Scenario to play
     #[arg(long, value_enum)]
     scenario: Scenario,
-    /// Routers in the fleet
+    /// Number of routers in the fleet
     #[arg(long, default_value_t = 300)]
     routers: usize,
-    /// The share of datagrams that are lost
+    /// Share of datagrams that are lost, from 0 to 1
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
-    /// The share of routers whose clocks are wrong by up to an hour
+    /// Share of routers whose clocks are wrong by up to an hour, from 0 to 1
     #[arg(long, default_value_t = 0.0)]
     wrong_clocks: f64,
-    /// Judges members one by one only: the control
+    /// Control: detect failures of single members only, not of whole zones
     #[arg(long)]
     without_zone_evidence: bool,
-    /// Ends so many seconds after the event
+    /// End the run this many seconds after the event
     #[arg(long, default_value_t = f64::INFINITY)]
     until: f64,
-    /// Doesn't ask others for primaries
+    /// Don't request missing primaries from other routers
     #[arg(long)]
     without_pull: bool,
-    /// One request for primaries goes out so often, in ms
+    /// Interval between requests for missing primaries, in ms
     #[arg(long)]
     pull_period: Option<f64>,
-    /// Datagrams for what is new that may go out together
+    /// Datagrams with new facts or updates that a router may send in one burst
     #[arg(long)]
     urgent_burst: Option<f64>,
-    /// Datagrams a second for what is new, beyond a burst
+    /// Sustained rate of datagrams with new facts or updates, per second and router
     #[arg(long)]
     urgent_per_second: Option<f64>,
 }
 
-/// Processor time of this process so far, in seconds.
+/// Processor time used by this process so far, in seconds.
 fn processor_seconds() -> f64 {
     const NANOSECONDS: f64 = 1e9;
     let time = clock_gettime(ClockId::ProcessCPUTime);
@@ -91,25 +92,25 @@
 fn prove(sizes: &[usize], seed: u64, threads: usize) -> Result<bool, RosterError> {
     let mut proved = true;
     for case in sizes.iter().flat_map(|routers| prove::cases(*routers)) {
-        let played = prove::play(case, seed, threads, true)?;
-        println!("{played}");
-        proved &= played.are_all_met();
+        let result = prove::play(case, seed, threads, true)?;
+        println!("{result}");
+        proved &= result.has_met_all();
     }
     let smallest = sizes.iter().copied().min().unwrap_or_default();
     let control = prove::play(prove::cases(smallest)[0], seed, threads, false)?;
     println!("control: {control}");
-    proved &= control.misses(Aim::LossKnown);
+    proved &= control.has_missed(Aim::LossKnown);
     println!("seed {seed}: {}", if proved { "proved" } else { "NOT proved" });
     Ok(proved)
 }
 
 fn main() -> ExitCode {
-    let Command { command, seed, threads } = Command::parse();
-    let done = match command {
-        What::Play(options) => play(options, seed, threads),
-        What::Prove { routers } => prove(&routers, seed, threads),
+    let Cli { command, seed, threads } = Cli::parse();
+    let result = match command {
+        Action::Play(options) => play(options, seed, threads),
+        Action::Prove { routers } => prove(&routers, seed, threads),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet in one run, and what is measured then.
+//! Scenarios: the events of a run, and the figures measured during it.
 
 use crate::fleet::{Fleet, Plan, Traffic};
 use crate::measure::{self, PrimaryChange};
@@ -6,35 +6,37 @@
 use magpiewell_members::RosterError;
 use magpiewell_tier::Limits;
 
-/// What befalls the fleet.
+/// The events of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Scenario {
-    /// Nothing happens.
+    /// No event.
     Quiet,
-    /// A zone is lost while one group for each 24 routers changes its primary; its routers are restarted later.
+    /// A zone is lost while one group per 24 routers changes its primary; the zone's routers are restarted
+    /// later.
     ZoneLost,
-    /// Half of the zones don't hear the others for a while.
+    /// The network is partitioned for a while, with half of the zones on each side.
     Parted,
-    /// No router is lost, but datagrams are, and a few processes are stopped for some seconds.
+    /// No router is lost, but a few at a time are paused for some seconds; played with loss of datagrams.
     Disturbed,
-    /// All routers are restarted, a few each second.
+    /// A rolling restart of all routers, a few each second.
     Restarted,
-    /// 1,100 of 4,800 routers, or as many in proportion, are lost within ten seconds, and replaced.
+    /// 1,100 of 4,800 routers, or the same share of another fleet, are lost within ten seconds and replaced
+    /// later.
     Replaced,
-    /// Forty routers of one rack are lost at once.
+    /// The forty routers of one rack are lost at the same time.
     RackLost,
 }
 
-/// Faults that hold for the whole run.
+/// Faults that are present during the whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// The share of datagrams that are lost.
+    /// Share of datagrams that are lost.
     pub loss: f64,
-    /// The share of routers whose clocks are wrong, by up to an hour either way.
+    /// Share of routers whose clocks are wrong, by up to an hour in either direction.
     pub wrong_clocks: f64,
 }
 
-/// One figure, measured at a time after the event began.
+/// A figure measured at a point in time after the event began.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figure {
     pub seconds: f64,
@@ -42,6 +44,7 @@
     pub value: f64,
 }
 
+/// The measured quantities; shares of pairs unless noted otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FigureKind {
     /// Pairs of a live observer and a lost member in which the member isn't counted.
@@ -50,64 +53,66 @@
     LiveNotCounted,
     /// Pairs of a live observer and a changed group in which the new primary is known.
     PrimariesKnown,
-    /// Bytes a second and router since the figure before, with the headers of IPv4 and UDP.
+    /// Bytes sent per second and live router since the previous measurement, including IPv4 and UDP headers.
     BytesPerSecond,
-    /// Pairs of a live observer and a silent zone in which the zone is said to be cut off, not lost or cut off.
+    /// Pairs of a live observer and a zone it believes unreachable in which the zone is reported as cut off,
+    /// rather than as lost or cut off.
     SaidCutOff,
     /// Pairs of an observer and a member whose zone the observer knows.
     ZonesKnown,
 }
 
-/// Groups that change their primary together: one for each so many routers.
-const ROUTERS_PER_CHANGE: usize = 24;
-/// Virtual time in which a fleet settles before anything happens, in ms: until all know the zones of all.
+/// One group per this many routers changes its primary when a zone is lost.
+const ROUTERS_PER_PRIMARY_CHANGE: usize = 24;
+/// Virtual time before the event, long enough for all routers to learn the zones of all members.
 const SETTLE_MS: f64 = 60_000.0;
 const SECOND_MS: f64 = 1_000.0;
-/// The headers of IPv4 and UDP.
+/// Length of the IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: f64 = 28.0;
-/// The part of the fleet that is replaced, of the target's 4,800.
+/// Share of the fleet that is replaced: 1,100 routers of the target size of 4,800.
 const REPLACED_SHARE: f64 = 1_100.0 / 4_800.0;
-const RACK: usize = 40;
+/// Number of routers in a rack.
+const RACK_ROUTERS: usize = 40;
 
-/// What one run measured.
+/// The figures of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub figures: Vec<Figure>,
-    /// How much virtual time passed in all.
+    /// Virtual time that passed in the whole run.
     pub virtual_seconds: f64,
 }
 
 impl Outcome {
-    /// The figure of this kind at that time, if it was measured.
-    pub fn at(&self, kind: FigureKind, seconds: f64) -> Option<f64> {
+    /// The figure of this kind at this time, if it was measured.
+    pub fn value_at(&self, kind: FigureKind, seconds: f64) -> Option<f64> {
         let figure = self.figures.iter().find(|f| f.kind == kind && f.seconds == seconds);
         figure.map(|f| f.value)
     }
 
     /// The highest figure of this kind.
-    pub fn highest(&self, kind: FigureKind) -> f64 {
+    pub fn max_value(&self, kind: FigureKind) -> f64 {
         let of_kind = self.figures.iter().filter(|f| f.kind == kind);
         of_kind.map(|f| f.value).fold(0.0, f64::max)
     }
 }
 
-/// A run in progress: the fleet, and what is true of it.
+/// A run in progress: the fleet and its true state.
 struct Run {
     fleet: Fleet,
     outcome: Outcome,
-    /// Routers that are lost now.
+    /// Routers that are currently lost.
     lost: Vec<usize>,
-    /// Routers whose beliefs and state aren't judged now: they are paused.
+    /// Routers that are currently paused: neither their beliefs nor the beliefs about them are measured.
     paused: Vec<usize>,
     changes: Vec<PrimaryChange>,
     event_at: f64,
-    /// Nothing is measured later than so many seconds after the event.
+    /// Nothing is measured later than this many seconds after the event.
     until_seconds: f64,
     traffic: Traffic,
     traffic_at: f64,
 }
 
-/// Plays a scenario to its end, or until so many seconds after the event.
+/// Plays a scenario to its end, or until `until_seconds` after the event.
 pub fn play(
     plan: Plan,
     scenario: Scenario,
@@ -149,12 +154,12 @@
         })
     }
 
-    /// Runs to each of these times after the event, in seconds, and measures there.
+    /// Runs to each of these times after the event, in seconds, and measures all figures there.
     fn sample_seconds(&mut self, times: &[f64]) {
         let last = self.until_seconds;
         for seconds in times.iter().filter(|seconds| **seconds <= last) {
-            let until = self.event_at + seconds * SECOND_MS;
-            self.fleet.run_ms(until - self.fleet.now());
+            let sample_at = self.event_at + seconds * SECOND_MS;
+            self.fleet.run_ms(sample_at - self.fleet.now());
             self.measure(*seconds);
         }
     }
@@ -172,9 +177,9 @@
         }
         figures.push((FigureKind::LiveNotCounted, measure::share_not_counted(fleet, &observers, &live)));
         figures.push((FigureKind::ZonesKnown, measure::share_of_zones_known(fleet, &observers)));
-        figures.push((FigureKind::SaidCutOff, measure::share_said_cut_off(fleet, &observers)));
+        figures.push((FigureKind::SaidCutOff, measure::share_reported_cut_off(fleet, &observers)));
         if !self.changes.is_empty() {
-            let share = measure::share_knowing(fleet, &observers, &self.changes);
+            let share = measure::share_knowing_primary(fleet, &observers, &self.changes);
             figures.push((FigureKind::PrimariesKnown, share));
         }
         let (traffic, now) = (fleet.traffic(), fleet.now());
@@ -202,7 +207,7 @@
     }
 
     fn change_primaries(&mut self) {
-        let count = (self.fleet.plan().routers / ROUTERS_PER_CHANGE).max(1);
+        let count = (self.fleet.plan().routers / ROUTERS_PER_PRIMARY_CHANGE).max(1);
         self.changes = measure::change_primaries(&mut self.fleet, count, 1);
     }
 
@@ -229,8 +234,9 @@
     }
 
     fn disturbed(&mut self) {
-        /// Processes that are stopped at a time, of the fleet, and for how long.
+        /// Share of the fleet that is paused at a time.
         const PAUSED_SHARE: f64 = 0.02;
+        /// Length of each pause, and of the time between two pauses.
         const PAUSE_SECONDS: f64 = 10.0;
         const ROUNDS: usize = 6;
         self.begin_event();
@@ -242,20 +248,20 @@
             self.sample_seconds(&[(2 * round + 1) as f64 * PAUSE_SECONDS]);
             self.paused.iter().for_each(|number| self.fleet.set_paused(*number, false));
             self.paused.clear();
-            // Those that were stopped need a moment to say that they are there.
+            // The resumed routers need some time to refute that they are dead.
             self.sample_seconds(&[(2 * round + 2) as f64 * PAUSE_SECONDS]);
         }
     }
 
     fn restarted(&mut self) -> Result<(), RosterError> {
-        /// Time in which all have been restarted, and how long each is away.
+        /// Duration of the whole rolling restart. Each router is down for one second of it.
         const SECONDS: usize = 60;
         self.begin_event();
         let routers = self.fleet.plan().routers;
-        let each = routers.div_ceil(SECONDS);
+        let per_second = routers.div_ceil(SECONDS);
         for second in 0..=SECONDS {
             self.restart_lost()?;
-            let next = (second * each..((second + 1) * each).min(routers)).collect();
+            let next = (second * per_second..((second + 1) * per_second).min(routers)).collect();
             if second < SECONDS {
                 self.lose(next);
             }
@@ -266,15 +272,15 @@
     }
 
     fn replaced(&mut self) -> Result<(), RosterError> {
-        /// Time in which they are lost.
+        /// Duration over which the routers are lost.
         const SECONDS: usize = 10;
         self.begin_event();
         let (routers, seed) = (self.fleet.plan().routers, self.fleet.plan().seed);
         let count = (routers as f64 * REPLACED_SHARE) as usize;
         let mut order: Vec<usize> = (0..routers).collect();
         order.sort_by_key(|number| random::number(seed, &[*number as u64, 7]));
-        let each = count.div_ceil(SECONDS);
-        for (second, batch) in order[..count].chunks(each.max(1)).enumerate() {
+        let per_second = count.div_ceil(SECONDS);
+        for (second, batch) in order[..count].chunks(per_second.max(1)).enumerate() {
             self.lose(batch.to_vec());
             self.sample_seconds(&[(second + 1) as f64]);
         }
@@ -286,26 +292,26 @@
 
     fn rack_lost(&mut self) {
         self.begin_event();
-        self.lose((0..RACK.min(self.fleet.plan().routers / 2)).collect());
+        self.lose((0..RACK_ROUTERS.min(self.fleet.plan().routers / 2)).collect());
         self.sample_seconds(&[5.0, 9.0, 15.0, 20.0, 30.0, 60.0, 90.0]);
     }
 }
 
-/// Gives some of the routers clocks that are wrong, and starts them anew with them.
+/// Gives this share of the routers wrong clocks, and restarts them.
 fn set_clocks(fleet: &mut Fleet, share: f64) -> Result<(), RosterError> {
     const HOUR_MS: f64 = 3_600_000.0;
     let seed = fleet.plan().seed;
     for number in 0..fleet.plan().routers {
         if random::unit(seed, &[number as u64, 3]) < share {
-            let offset = (random::unit(seed, &[number as u64, 4]) - 0.5) * 2.0 * HOUR_MS;
-            fleet.set_clock_offset(number, offset);
+            let offset_ms = (random::unit(seed, &[number as u64, 4]) - 0.5) * 2.0 * HOUR_MS;
+            fleet.set_clock_offset(number, offset_ms);
             fleet.start_router(number)?;
         }
     }
     Ok(())
 }
 
-/// The plan of a run with default limits.
+/// A plan with default limits.
 pub fn plan(routers: usize, seed: u64, threads: usize, zone_evidence: bool) -> Plan {
     const ZONES: usize = 6;
     let links = crate::network::Links::default();
