--- a/crates/fleet/src/router.rs
+++ b/crates/fleet/src/router.rs
@@ -23,7 +23,6 @@
 }
 
 /// A running router process.
-
 pub struct Router {
     tier: Tier,
     /// How far this router's clock is ahead of the true time, in ms.
--- a/crates/tier/src/tests.rs
+++ b/crates/tier/src/tests.rs
@@ -302,7 +302,13 @@
         zone_evidence in any::<bool>()
     ) {
         let identity = Identity { local: 0, roster_size: 4, zone: None, started_at: 1 };
-        let mut tier = Tier::new(identity, 1, None, Limits { zone_evidence, pull_facts: zone_evidence, ..Limits::default() },).unwrap();
+        let mut tier = Tier::new(
+            identity,
+            1,
+            None,
+            Limits { zone_evidence, pull_facts: zone_evidence, ..Limits::default() },
+        )
+        .unwrap();
         for (number, (from, bytes)) in datagrams.into_iter().enumerate() {
             let output = tier.receive(START + number as f64 * 37.0, from, &bytes);
             prop_assert!(output.datagrams.len() <= 8);
