--- a/crates/lab/src/scale/fault.rs
+++ b/crates/lab/src/scale/fault.rs
@@ -1,27 +1,26 @@
-//! Which datagrams of hollow routers are lost: a share of all, and those between sides that are cut from
-//! each other. No I/O.
+//! Network faults for the datagrams of hollow routers: random loss and partitions. No I/O.
 
-use super::plan::Member;
+use super::plan::MemberId;
 use crate::tier::script::random_unit;
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with the network at present.
+/// The network faults in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Faults {
-    /// This share of datagrams is lost.
+    /// The share of datagrams that is lost.
     pub loss: f64,
-    /// Each member's side; datagrams between two sides are lost. Empty: nothing is cut.
+    /// Each member's side of the partition; datagrams between sides are lost. Empty: no partition.
     pub sides: Vec<u8>,
 }
 
 impl Faults {
-    fn cuts(&self, from: Member, to: Member) -> bool {
+    fn is_cut(&self, from: MemberId, to: MemberId) -> bool {
         self.sides.get(usize::from(from)) != self.sides.get(usize::from(to))
     }
 
-    /// Whether this datagram is lost, drawn anew each time.
-    pub fn loses(&self, from: Member, to: Member, chance: &mut ChaCha8Rng) -> bool {
-        self.cuts(from, to) || (self.loss > 0.0 && random_unit(chance) < self.loss)
+    /// Whether to drop a datagram; random loss is drawn anew on each call.
+    pub fn should_drop(&self, from: MemberId, to: MemberId, rng: &mut ChaCha8Rng) -> bool {
+        self.is_cut(from, to) || (self.loss > 0.0 && random_unit(rng) < self.loss)
     }
 }
--- a/crates/lab/src/scale/hollow_process.rs
+++ b/crates/lab/src/scale/hollow_process.rs
@@ -1,10 +1,10 @@
-//! The process of one slice of hollow routers: a UDP socket for each, a few threads, commands on standard
-//! input and what was seen on standard output.
+//! A process of hollow routers: each router has its own UDP socket, a few threads serve all of them. Commands
+//! are read from standard input, events are written to standard output.
 
 use super::fault::Faults;
-use super::hollow::{self, HollowRouter, OVERSLEPT_MS, Output, Primary, TICK_MS};
+use super::hollow::{self, HollowRouter, Output, PAUSE_THRESHOLD_MS, Primary, TICK_MS};
 use super::message::{Command, Entry, Event, Totals};
-use super::plan::{Member, Plan};
+use super::plan::{MemberId, Plan};
 use crate::tier::net::Epoch;
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token};
@@ -15,73 +15,81 @@
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 use std::time::Duration;
 
-/// Threads of one process.
-const THREADS: usize = 2;
-/// How often totals are reported, in ms.
-const REPORT_MS: f64 = 1_000.0;
-const LONGEST_DATAGRAM: usize = 2 * magpiewell_peers::MAX_DATAGRAM_BYTES;
-/// Chance for the faults of a process' threads begins here, beyond that of the plan itself.
-const CHANCE_OF_FAULTS: u64 = 1_000;
+const THREADS_PER_PROCESS: usize = 2;
+/// Interval between reports of the totals.
+const REPORT_INTERVAL_MS: f64 = 1_000.0;
+const RECEIVE_BUFFER_BYTES: usize = 2 * magpiewell_peers::MAX_DATAGRAM_BYTES;
+/// First salt of the random number generators for faults, one per thread; the plan itself uses salt 0.
+const FIRST_FAULT_SALT: u64 = 1_000;
 
-/// What all threads of the process read.
-struct Place {
+/// Data shared by all threads of the process.
+struct Context {
     plan: Plan,
     epoch: Epoch,
-    /// How far the routers' clocks are off, in ms.
-    clock_off_ms: f64,
+    /// Offset of the routers' clocks.
+    clock_offset_ms: f64,
 }
 
-impl Place {
-    /// Unix ms by the routers' clocks at a time since the start.
-    fn unix(&self, at: f64) -> f64 {
-        self.epoch.unix_ms + at + self.clock_off_ms
+impl Context {
+    /// The routers' Unix time at `at` ms since the epoch.
+    fn unix_ms(&self, at: f64) -> f64 {
+        self.epoch.unix_ms + at + self.clock_offset_ms
     }
 }
 
-/// What one hollow router is to see.
+/// A new primary that a hollow router is to observe.
 struct Observation {
-    observer: Member,
+    observer: MemberId,
     primary: Primary,
 }
 
-/// One thread of the process, as the others know it.
-struct Handle {
-    members: Vec<Member>,
+/// Access to one thread of the process from the others.
+struct WorkerHandle {
+    members: Vec<MemberId>,
     observations: Sender<Observation>,
     totals: Arc<Mutex<Totals>>,
 }
 
-/// Reads the plan and runs until the input ends.
+/// Reads the plan and runs the hollow routers of one process until standard input ends.
 pub fn run(plan: &Path, process: usize, epoch: Epoch) -> Result<(), String> {
     let text = std::fs::read_to_string(plan).map_err(|e| format!("{}: {e}", plan.display()))?;
     let plan: Plan = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", plan.display()))?;
-    plan.check()?;
-    let faults = Arc::new(RwLock::new(plan.standing_faults()));
-    let place = Arc::new(Place { clock_off_ms: plan.clock_off_ms(process), plan, epoch });
-    let journal = Arc::new(Journal::new(epoch));
-    let members = place.plan.slice(process);
+    plan.validate()?;
+    let faults = Arc::new(RwLock::new(plan.permanent_faults()));
+    let context = Arc::new(Context { clock_offset_ms: plan.clock_offset_ms(process), plan, epoch });
+    let writer = Arc::new(EventWriter::new(epoch));
+    let members = context.plan.members_of_process(process);
     let mut handles = Vec::new();
-    let mut loops = Vec::new();
-    for thread in 0..THREADS {
-        let own: Vec<Member> = members.iter().copied().skip(thread).step_by(THREADS).collect();
-        let (observations, to_observe) = mpsc::channel();
+    let mut workers = Vec::new();
+    for thread in 0..THREADS_PER_PROCESS {
+        let own_members: Vec<MemberId> =
+            members.iter().copied().skip(thread).step_by(THREADS_PER_PROCESS).collect();
+        let (observations, received_observations) = mpsc::channel();
         let totals = Arc::new(Mutex::new(Totals::default()));
-        let chance = place.plan.chance(CHANCE_OF_FAULTS + (process * THREADS + thread) as u64);
-        loops.push(Loop::open(&place, &own, to_observe, &faults, chance, &journal, &totals)?);
-        handles.push(Handle { members: own, observations, totals });
+        let rng = context.plan.rng(FIRST_FAULT_SALT + (process * THREADS_PER_PROCESS + thread) as u64);
+        workers.push(Worker::open(
+            &context,
+            &own_members,
+            received_observations,
+            &faults,
+            rng,
+            &writer,
+            &totals,
+        )?);
+        handles.push(WorkerHandle { members: own_members, observations, totals });
     }
-    journal.write(Event::Ready { process });
-    for running in loops {
-        std::thread::spawn(move || running.run());
+    writer.write(Event::Ready { process });
+    for worker in workers {
+        std::thread::spawn(move || worker.run());
     }
     let totals: Vec<Arc<Mutex<Totals>>> = handles.iter().map(|handle| handle.totals.clone()).collect();
-    std::thread::spawn(move || report_totals(process, &totals, &journal));
-    take_commands(&handles, &faults);
+    std::thread::spawn(move || report_totals(process, &totals, &writer));
+    run_commands(&handles, &faults);
     Ok(())
 }
 
-/// Does what the input says until it ends.
-fn take_commands(handles: &[Handle], faults: &RwLock<Faults>) {
+/// Executes the commands on standard input until it ends.
+fn run_commands(handles: &[WorkerHandle], faults: &RwLock<Faults>) {
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
         match serde_json::from_str(&line) {
             Ok(Command::Faults(new)) => *faults.write().unwrap_or_else(PoisonError::into_inner) = new,
@@ -89,43 +97,43 @@
                 let handle = handles.iter().find(|handle| handle.members.contains(&observer));
                 if let Some(handle) = handle {
                     let primary = Primary { group, host };
-                    // A thread that has ended sees nothing any more.
+                    // Fails only if the thread has ended, which then observes nothing any more.
                     let _ = handle.observations.send(Observation { observer, primary });
                 }
             }
-            Err(why) => eprintln!("hollow process: not understood: {why}: {line}"),
+            Err(why) => eprintln!("hollow process: unreadable command: {why}: {line}"),
         }
     }
 }
 
-/// Reports the sum of all threads' totals every second.
-fn report_totals(process: usize, totals: &[Arc<Mutex<Totals>>], journal: &Journal) {
+/// Reports the sum of all threads' totals at each interval.
+fn report_totals(process: usize, totals: &[Arc<Mutex<Totals>>], writer: &EventWriter) {
     loop {
-        std::thread::sleep(Duration::from_secs_f64(REPORT_MS / 1e3));
+        std::thread::sleep(Duration::from_secs_f64(REPORT_INTERVAL_MS / 1e3));
         let mut sum = Totals::default();
         for thread in totals {
-            let mut of = thread.lock().unwrap_or_else(PoisonError::into_inner);
-            sum.datagrams += of.datagrams;
-            sum.bytes += of.bytes;
-            sum.ticks += of.ticks;
-            sum.late_ticks += of.late_ticks;
-            sum.lost += of.lost;
-            sum.most_bytes = sum.most_bytes.max(of.most_bytes);
-            of.most_bytes = 0;
+            let mut thread_totals = thread.lock().unwrap_or_else(PoisonError::into_inner);
+            sum.datagrams += thread_totals.datagrams;
+            sum.bytes += thread_totals.bytes;
+            sum.ticks += thread_totals.ticks;
+            sum.late_ticks += thread_totals.late_ticks;
+            sum.lost += thread_totals.lost;
+            sum.most_bytes = sum.most_bytes.max(thread_totals.most_bytes);
+            thread_totals.most_bytes = 0;
         }
-        journal.write(Event::Totals { process, totals: sum });
+        writer.write(Event::Totals { process, totals: sum });
     }
 }
 
-/// Writes what was seen to standard output.
-struct Journal {
+/// Writes events to standard output.
+struct EventWriter {
     epoch: Epoch,
     out: Mutex<BufWriter<Stdout>>,
 }
 
-impl Journal {
-    fn new(epoch: Epoch) -> Journal {
-        Journal { epoch, out: Mutex::new(BufWriter::new(std::io::stdout())) }
+impl EventWriter {
+    fn new(epoch: Epoch) -> EventWriter {
+        EventWriter { epoch, out: Mutex::new(BufWriter::new(std::io::stdout())) }
     }
 
     fn write(&self, event: Event) {
@@ -134,11 +142,11 @@
 
     fn write_all(&self, events: Vec<Event>) {
         let mut out = self.out.lock().unwrap_or_else(PoisonError::into_inner);
-        // Taken under the lock, so that a process' lines are in the order of their times.
+        // Read under the lock, so that the lines are in the order of their timestamps.
         let at = self.epoch.now();
         for event in events {
             let line = serde_json::to_string(&Entry { at, event }).unwrap_or_default();
-            // Nobody reads any more: the process is about to be ended.
+            // Fails only if the reader has gone; this process is then about to be killed.
             drop(writeln!(out, "{line}"));
         }
         drop(out.flush());
@@ -146,7 +154,7 @@
 }
 
 /// A hollow router with its socket.
-struct Seat {
+struct Endpoint {
     router: HollowRouter,
     socket: UdpSocket,
     next_tick: f64,
@@ -155,43 +163,45 @@
     reported_at: f64,
 }
 
-/// One thread's routers.
-struct Loop {
-    place: Arc<Place>,
+/// The event loop of one thread and its routers.
+struct Worker {
+    context: Arc<Context>,
     poll: Poll,
-    seats: Vec<Seat>,
+    endpoints: Vec<Endpoint>,
     observations: Receiver<Observation>,
     faults: Arc<RwLock<Faults>>,
-    chance: ChaCha8Rng,
-    journal: Arc<Journal>,
+    rng: ChaCha8Rng,
+    writer: Arc<EventWriter>,
     shared_totals: Arc<Mutex<Totals>>,
     totals: Totals,
-    seen: Vec<Event>,
+    pending_events: Vec<Event>,
 }
 
-impl Loop {
+impl Worker {
     fn open(
-        place: &Arc<Place>,
-        members: &[Member],
+        context: &Arc<Context>,
+        members: &[MemberId],
         observations: Receiver<Observation>,
         faults: &Arc<RwLock<Faults>>,
-        chance: ChaCha8Rng,
-        journal: &Arc<Journal>,
+        rng: ChaCha8Rng,
+        writer: &Arc<EventWriter>,
         shared_totals: &Arc<Mutex<Totals>>,
-    ) -> Result<Loop, String> {
-        let terms = hollow::read_template(&place.plan)?;
+    ) -> Result<Worker, String> {
+        let options = hollow::parse_template(&context.plan)?;
         let poll = Poll::new().map_err(|e| e.to_string())?;
-        let now = place.epoch.now();
-        let mut seats = Vec::new();
+        let now = context.epoch.now();
+        let mut endpoints = Vec::new();
         for (position, member) in members.iter().enumerate() {
-            let address = place.plan.address(*member);
-            let named = |e: std::io::Error| format!("hollow router {member} at {address}: {e}");
-            let mut socket = UdpSocket::bind(address).map_err(named)?;
-            poll.registry().register(&mut socket, Token(position), Interest::READABLE).map_err(named)?;
-            let router = HollowRouter::new(&place.plan, &terms, *member, place.unix(now))?;
-            // Not all of them at the same moment.
+            let address = context.plan.address(*member);
+            let with_router = |e: std::io::Error| format!("hollow router {member} at {address}: {e}");
+            let mut socket = UdpSocket::bind(address).map_err(with_router)?;
+            poll.registry()
+                .register(&mut socket, Token(position), Interest::READABLE)
+                .map_err(with_router)?;
+            let router = HollowRouter::new(&context.plan, &options, *member, context.unix_ms(now))?;
+            // Spreads the routers' ticks over the interval.
             let next_tick = now + TICK_MS * position as f64 / members.len() as f64;
-            seats.push(Seat {
+            endpoints.push(Endpoint {
                 router,
                 socket,
                 next_tick,
@@ -200,28 +210,28 @@
                 reported_at: now,
             });
         }
-        Ok(Loop {
-            place: place.clone(),
+        Ok(Worker {
+            context: context.clone(),
             poll,
-            seats,
+            endpoints,
             observations,
             faults: faults.clone(),
-            chance,
-            journal: journal.clone(),
+            rng,
+            writer: writer.clone(),
             shared_totals: shared_totals.clone(),
             totals: Totals::default(),
-            seen: Vec::new(),
+            pending_events: Vec::new(),
         })
     }
 
-    /// Runs until the process ends.
+    /// Runs until the process exits.
     fn run(mut self) {
         let mut events = Events::with_capacity(256);
         loop {
-            if let Err(e) = self.poll.poll(&mut events, Some(self.until_next_tick()))
+            if let Err(e) = self.poll.poll(&mut events, Some(self.time_until_next_tick()))
                 && e.kind() != ErrorKind::Interrupted
             {
-                return eprintln!("hollow process: sockets can't be watched: {e}");
+                return eprintln!("hollow process: sockets can't be polled: {e}");
             }
             let faults = self.faults.read().unwrap_or_else(PoisonError::into_inner).clone();
             for event in &events {
@@ -233,100 +243,100 @@
         }
     }
 
-    fn until_next_tick(&self) -> Duration {
-        let next = self.seats.iter().map(|seat| seat.next_tick).fold(f64::INFINITY, f64::min);
-        let wait = (next - self.place.epoch.now()).clamp(1.0, TICK_MS);
+    fn time_until_next_tick(&self) -> Duration {
+        let next = self.endpoints.iter().map(|endpoint| endpoint.next_tick).fold(f64::INFINITY, f64::min);
+        let wait = (next - self.context.epoch.now()).clamp(1.0, TICK_MS);
         Duration::from_secs_f64(wait / 1e3)
     }
 
-    fn unix_now(&self) -> f64 {
-        self.place.unix(self.place.epoch.now())
+    fn unix_now_ms(&self) -> f64 {
+        self.context.unix_ms(self.context.epoch.now())
     }
 
     fn receive(&mut self, position: usize, faults: &Faults) {
-        let mut buffer = [0; LONGEST_DATAGRAM];
-        while let Ok((length, from)) = self.seats[position].socket.recv_from(&mut buffer) {
-            let Some(from) = self.place.plan.member_at(from) else { continue };
-            let member = self.seats[position].router.member;
-            // What hollow routers send is lost where they send it.
-            if !self.place.plan.is_hollow(from) && faults.loses(from, member, &mut self.chance) {
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
+        while let Ok((length, from)) = self.endpoints[position].socket.recv_from(&mut buffer) {
+            let Some(from) = self.context.plan.member_at(from) else { continue };
+            let member = self.endpoints[position].router.member;
+            // Datagrams from hollow routers are subject to faults at the sender.
+            if !self.context.plan.is_hollow(from) && faults.should_drop(from, member, &mut self.rng) {
                 self.totals.lost += 1;
                 continue;
             }
-            let now = self.unix_now();
-            let output = self.seats[position].router.receive(now, from, &buffer[..length]);
-            self.carry_out(position, output, faults);
+            let now = self.unix_now_ms();
+            let output = self.endpoints[position].router.receive(now, from, &buffer[..length]);
+            self.handle_output(position, output, faults);
         }
     }
 
     fn observe_primaries(&mut self, faults: &Faults) {
         while let Ok(Observation { observer, primary }) = self.observations.try_recv() {
-            let position = self.seats.iter().position(|seat| seat.router.member == observer);
+            let position = self.endpoints.iter().position(|endpoint| endpoint.router.member == observer);
             let Some(position) = position else { continue };
             let Primary { group, host } = primary;
-            // It knows what it has seen itself.
-            self.seen.push(Event::PrimaryChanged { observer, group, host });
-            self.seen.push(Event::Primary { observer, group, host });
-            let now = self.unix_now();
-            let output = self.seats[position].router.observe_primary(now, primary);
-            self.carry_out(position, output, faults);
+            // The observer itself knows the new primary at once.
+            self.pending_events.push(Event::PrimaryChanged { observer, group, host });
+            self.pending_events.push(Event::Primary { observer, group, host });
+            let now = self.unix_now_ms();
+            let output = self.endpoints[position].router.observe_primary(now, primary);
+            self.handle_output(position, output, faults);
         }
     }
 
     fn tick(&mut self, faults: &Faults) {
-        for position in 0..self.seats.len() {
-            let now = self.place.epoch.now();
-            let seat = &mut self.seats[position];
-            if now < seat.next_tick {
+        for position in 0..self.endpoints.len() {
+            let now = self.context.epoch.now();
+            let endpoint = &mut self.endpoints[position];
+            if now < endpoint.next_tick {
                 continue;
             }
             self.totals.ticks += 1;
-            self.totals.late_ticks += u64::from(now - seat.last_tick > OVERSLEPT_MS);
-            seat.last_tick = now;
-            seat.next_tick = now + TICK_MS;
-            let output = seat.router.tick(self.place.unix(now));
-            self.carry_out(position, output, faults);
-            self.note_beliefs(position);
-            self.note_bytes(position, now);
+            self.totals.late_ticks += u64::from(now - endpoint.last_tick > PAUSE_THRESHOLD_MS);
+            endpoint.last_tick = now;
+            endpoint.next_tick = now + TICK_MS;
+            let output = endpoint.router.tick(self.context.unix_ms(now));
+            self.handle_output(position, output, faults);
+            self.record_status_changes(position);
+            self.record_sent_bytes(position, now);
         }
     }
 
-    fn note_beliefs(&mut self, position: usize) {
-        let router = &mut self.seats[position].router;
+    fn record_status_changes(&mut self, position: usize) {
+        let router = &mut self.endpoints[position].router;
         let observer = router.member;
-        let belief = |(member, counts)| Event::Belief { observer, member, counts };
-        self.seen.extend(router.changed_members().into_iter().map(belief));
+        let status_event = |(member, counts)| Event::Belief { observer, member, counts };
+        self.pending_events.extend(router.changed_members().into_iter().map(status_event));
     }
 
-    fn note_bytes(&mut self, position: usize, now: f64) {
-        let seat = &mut self.seats[position];
-        if now - seat.reported_at < REPORT_MS {
+    fn record_sent_bytes(&mut self, position: usize, now: f64) {
+        let endpoint = &mut self.endpoints[position];
+        if now - endpoint.reported_at < REPORT_INTERVAL_MS {
             return;
         }
-        let (_, bytes) = seat.router.sent();
-        self.totals.most_bytes = self.totals.most_bytes.max(bytes - seat.reported_bytes);
-        seat.reported_bytes = bytes;
-        seat.reported_at = now;
+        let (_, bytes) = endpoint.router.sent();
+        self.totals.most_bytes = self.totals.most_bytes.max(bytes - endpoint.reported_bytes);
+        endpoint.reported_bytes = bytes;
+        endpoint.reported_at = now;
     }
 
-    fn carry_out(&mut self, position: usize, output: Output, faults: &Faults) {
-        let seat = &self.seats[position];
-        let observer = seat.router.member;
+    fn handle_output(&mut self, position: usize, output: Output, faults: &Faults) {
+        let endpoint = &self.endpoints[position];
+        let observer = endpoint.router.member;
         for datagram in output.datagrams {
-            if faults.loses(observer, datagram.to, &mut self.chance) {
+            if faults.should_drop(observer, datagram.to, &mut self.rng) {
                 self.totals.lost += 1;
                 continue;
             }
-            // Not taken by the machine: as lost on the way.
-            drop(seat.socket.send_to(&datagram.bytes, self.place.plan.address(datagram.to)));
+            // A send error counts as a datagram lost on the way.
+            drop(endpoint.socket.send_to(&datagram.bytes, self.context.plan.address(datagram.to)));
         }
-        let learned = |Primary { group, host }| Event::Primary { observer, group, host };
-        self.seen.extend(output.primaries.into_iter().map(learned));
+        let primary_event = |Primary { group, host }| Event::Primary { observer, group, host };
+        self.pending_events.extend(output.primaries.into_iter().map(primary_event));
     }
 
-    /// Hands on what was seen and counted in this turn.
+    /// Writes the events and publishes the totals of this iteration.
     fn publish(&mut self) {
-        let sent = self.seats.iter().map(|seat| seat.router.sent());
+        let sent = self.endpoints.iter().map(|endpoint| endpoint.router.sent());
         (self.totals.datagrams, self.totals.bytes) = sent.fold((0, 0), |(d, b), (x, y)| (d + x, b + y));
         {
             let mut shared = self.shared_totals.lock().unwrap_or_else(PoisonError::into_inner);
@@ -334,8 +344,8 @@
             *shared = Totals { most_bytes, ..self.totals };
         }
         self.totals.most_bytes = 0;
-        if !self.seen.is_empty() {
-            self.journal.write_all(std::mem::take(&mut self.seen));
+        if !self.pending_events.is_empty() {
+            self.writer.write_all(std::mem::take(&mut self.pending_events));
         }
     }
 }
--- a/crates/lab/src/scale/judge/tests.rs
+++ b/crates/lab/src/scale/judge/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::scale::message::Totals;
-use crate::scale::plan::{Durations, LOST_ZONE, Member, Variant};
+use crate::scale::plan::{Durations, LOST_ZONE, MemberId, Variant};
 
 const LOST_AT: f64 = 1_000.0;
 const MEMORY_MB: f64 = 1_000.0;
@@ -20,7 +20,8 @@
     }
 }
 
-/// The zone is lost, all hold it dead after so long, and all but some learn of one new primary.
+/// The zone is lost, all live routers mark it dead `dead_after` ms later, and all but `never_learn` of them
+/// learn of one new primary.
 fn entries(plan: &Plan, dead_after: f64, never_learn: usize) -> Vec<Entry> {
     let mut entries = vec![
         Entry { at: 0.0, event: Event::Phase(Phase::Settle) },
@@ -28,7 +29,7 @@
         Entry { at: LOST_AT, event: Event::ZoneLost { zone: LOST_ZONE } },
         Entry { at: LOST_AT, event: Event::PrimaryChanged { observer: 0, group: 1, host: 7 } },
     ];
-    let live: Vec<Member> = plan.all_members().filter(|m| plan.zone(*m) != LOST_ZONE).collect();
+    let live: Vec<MemberId> = plan.all_members().filter(|m| plan.zone(*m) != LOST_ZONE).collect();
     for observer in live.iter().skip(never_learn) {
         let event = Event::Primary { observer: *observer, group: 1, host: 7 };
         entries.push(Entry { at: LOST_AT + 400.0, event });
@@ -49,12 +50,12 @@
 }
 
 #[test]
-fn a_loss_and_a_primary_that_are_known_in_time_keep_their_aims() {
+fn loss_and_primary_known_in_time_meet_their_targets() {
     let verdict = judge(&plan(), &entries(&plan(), 8_900.0, 0), MEMORY_MB);
     for measure in [
-        Measure::LostHeldDead { after_s: WITHIN_S },
-        Measure::PrimariesKnown { after_s: WITHIN_S },
-        Measure::LiveHeldDead { phase: Phase::ZoneLost },
+        Measure::LostMarkedDead { after_s: DETECTION_LIMIT_S },
+        Measure::PrimariesKnown { after_s: DETECTION_LIMIT_S },
+        Measure::LiveMarkedDead { phase: Phase::ZoneLost },
     ] {
         assert!(!verdict.misses(measure) && value(&verdict, measure).is_some(), "{measure}");
     }
@@ -62,17 +63,17 @@
 }
 
 #[test]
-fn a_loss_believed_too_late_and_a_primary_unknown_to_one_in_ten_are_missed() {
+fn late_loss_and_primary_unknown_to_one_in_ten_miss_their_targets() {
     let verdict = judge(&plan(), &entries(&plan(), 9_100.0, 1), MEMORY_MB);
-    assert_eq!(value(&verdict, Measure::LostHeldDead { after_s: WITHIN_S }), Some(0.0));
-    assert_eq!(value(&verdict, Measure::PrimariesKnown { after_s: WITHIN_S }), Some(0.9));
-    assert!(verdict.misses(Measure::LostHeldDead { after_s: WITHIN_S }));
-    assert!(verdict.misses(Measure::PrimariesKnown { after_s: WITHIN_S }));
+    assert_eq!(value(&verdict, Measure::LostMarkedDead { after_s: DETECTION_LIMIT_S }), Some(0.0));
+    assert_eq!(value(&verdict, Measure::PrimariesKnown { after_s: DETECTION_LIMIT_S }), Some(0.9));
+    assert!(verdict.misses(Measure::LostMarkedDead { after_s: DETECTION_LIMIT_S }));
+    assert!(verdict.misses(Measure::PrimariesKnown { after_s: DETECTION_LIMIT_S }));
     assert!(verdict.control_fails());
 }
 
 #[test]
-fn one_live_member_held_dead_for_a_moment_is_seen() {
+fn marking_one_live_member_dead_for_a_second_misses_the_target() {
     let mut entries = entries(&plan(), 5_000.0, 0);
     for (at, counts) in [(LOST_AT + 6_000.0, false), (LOST_AT + 7_000.0, true)] {
         entries.push(Entry { at, event: Event::Belief { observer: 0, member: 2, counts } });
@@ -80,22 +81,22 @@
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     let verdict = judge(&plan(), &entries, MEMORY_MB);
     // Ten live routers: 90 pairs.
-    let held = Measure::LiveHeldDead { phase: Phase::ZoneLost };
-    assert_eq!(value(&verdict, held), Some(1.0 / 90.0));
-    assert!(verdict.misses(held));
+    let live_marked_dead = Measure::LiveMarkedDead { phase: Phase::ZoneLost };
+    assert_eq!(value(&verdict, live_marked_dead), Some(1.0 / 90.0));
+    assert!(verdict.misses(live_marked_dead));
 }
 
 #[test]
-fn a_test_that_ends_too_early_keeps_no_aim() {
+fn a_test_that_ends_too_early_misses_its_targets() {
     let mut entries = entries(&plan(), 100.0, 0);
     entries.retain(|entry| entry.at < LOST_AT + 5_000.0);
     let verdict = judge(&plan(), &entries, MEMORY_MB);
-    assert!(verdict.misses(Measure::LostHeldDead { after_s: WITHIN_S }));
-    assert!(verdict.misses(Measure::PrimariesKnown { after_s: WITHIN_S }));
+    assert!(verdict.misses(Measure::LostMarkedDead { after_s: DETECTION_LIMIT_S }));
+    assert!(verdict.misses(Measure::PrimariesKnown { after_s: DETECTION_LIMIT_S }));
 }
 
 #[test]
-fn bytes_and_processor_time_are_a_second_and_router() {
+fn bytes_and_processor_time_are_per_second_and_router() {
     let mut entries = entries(&plan(), 5_000.0, 0);
     for (at, bytes, most_bytes) in [(2_000.0, 10_000, 700), (6_000.0, 110_000, 9_000)] {
         let totals = Totals { bytes, most_bytes, ..Totals::default() };
@@ -110,18 +111,18 @@
     let bytes = Measure::HollowBytes { phase: Phase::ZoneLost };
     assert_eq!(value(&verdict, bytes), Some(5_000.0));
     assert!(verdict.misses(bytes));
-    assert_eq!(value(&verdict, Measure::MostBytes { phase: Phase::ZoneLost }), Some(9_000.0));
+    assert_eq!(value(&verdict, Measure::MaxBytes { phase: Phase::ZoneLost }), Some(9_000.0));
     let processor = Measure::HollowProcessor { phase: Phase::ZoneLost };
     assert_eq!(value(&verdict, processor), Some(0.05));
     assert!(verdict.misses(processor) && verdict.misses(Measure::MachineMemory));
 }
 
 #[test]
-fn a_process_that_was_begun_anew_is_left_out_of_rates() {
+fn restarted_processes_are_excluded_from_rates() {
     let readings = |values: &[f64]| -> Vec<Reading> {
         values.iter().enumerate().map(|(at, value)| Reading { at: at as f64 * 1e3, value: *value }).collect()
     };
-    assert_eq!(growth_a_second(&readings(&[1.0, 3.0, 5.0])), Some(2.0));
-    assert_eq!(growth_a_second(&readings(&[1.0, 0.5, 5.0])), None);
-    assert_eq!(growth_a_second(&readings(&[1.0])), None);
+    assert_eq!(growth_per_second(&readings(&[1.0, 3.0, 5.0])), Some(2.0));
+    assert_eq!(growth_per_second(&readings(&[1.0, 0.5, 5.0])), None);
+    assert_eq!(growth_per_second(&readings(&[1.0])), None);
 }
--- a/crates/lab/src/scale/message.rs
+++ b/crates/lab/src/scale/message.rs
@@ -1,114 +1,91 @@
-//! What the laboratory's process says to a hollow process and the other way round: one JSON object a line.
+//! Messages between the laboratory's process and the hollow processes: one JSON object per line.
 
 use super::fault::Faults;
-use super::plan::Member;
+use super::plan::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// To a hollow process, on its standard input; the end of the input ends the process.
+/// A command to a hollow process on its standard input; the process exits at the end of the input.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// From now on these faults instead of those before.
+    /// Replaces the network faults in force.
     Faults(Faults),
-    /// This hollow router sees that a group has a new primary.
-    ObservePrimary { observer: Member, group: u32, host: u32 },
+    /// Makes this hollow router observe a group's new primary.
+    ObservePrimary { observer: MemberId, group: u32, host: u32 },
 }
 
-/// Which process a figure is of.
+/// A process of the test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ProcessName {
-    /// The hollow process of this slice.
+    /// The hollow process with this number.
     Hollow(usize),
-    /// The real router with this number.
-    Real(Member),
+    /// The real router with this member number.
+    Real(MemberId),
 }
 
-/// What a phase of the test is about.
+/// The phases of a test, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
+    /// From the start of all processes; not measured.
     Settle,
+    /// No faults.
     Quiet,
+    /// All processes of one zone are killed.
     ZoneLost,
+    /// The processes of the lost zone are restarted.
     ZoneBack,
-    /// A process is stopped for a while.
+    /// One process is stopped with SIGSTOP for some seconds.
     Stop,
+    /// A share of the hollow routers' datagrams is lost.
     Loss,
+    /// The network is partitioned into two sides.
     Cut,
+    /// The partition is healed.
     Healed,
     End,
 }
 
-/// What hollow routers of a process have done since it started.
+/// Counters of the hollow routers of a process since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
     pub datagrams: u64,
     pub bytes: u64,
-    /// The most bytes that one of them sent since the last report.
+    /// The maximum number of bytes that a single router sent since the last report.
     pub most_bytes: u64,
     pub ticks: u64,
-    /// Ticks that came so late that the router takes itself for stopped.
+    /// Ticks so late that the router assumes its process was paused.
     pub late_ticks: u64,
-    /// Datagrams that the faults lost.
+    /// Datagrams dropped by the injected faults.
     pub lost: u64,
 }
 
-/// What was seen, by a hollow process or by the laboratory's own.
+/// An event observed by a hollow process or by the laboratory's process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// All routers of this hollow process run, and believe that all members count.
-    Ready {
-        process: usize,
-    },
-    /// A hollow router's belief of a member has changed.
-    Belief {
-        observer: Member,
-        member: Member,
-        counts: bool,
-    },
-    /// A hollow router has learned a group's primary, or seen it itself.
-    Primary {
-        observer: Member,
-        group: u32,
-        host: u32,
-    },
-    Totals {
-        process: usize,
-        totals: Totals,
-    },
-    /// A real router's line of figures.
-    RealFigures {
-        member: Member,
-        counted: usize,
-        bytes: u64,
-        groups: usize,
-    },
-    /// Processor time of a process since its start, and its resident memory.
-    Usage {
-        process: ProcessName,
-        processor_ms: f64,
-        memory_mb: f64,
-    },
+    /// All routers of this hollow process run and count all members, which is their initial state.
+    Ready { process: usize },
+    /// A hollow router counts a member again, or no longer.
+    Belief { observer: MemberId, member: MemberId, counts: bool },
+    /// A hollow router has received or observed a group's primary.
+    Primary { observer: MemberId, group: u32, host: u32 },
+    /// A hollow process' periodic counters.
+    Totals { process: usize, totals: Totals },
+    /// The figures that a real router logs periodically.
+    RealFigures { member: MemberId, counted: usize, bytes: u64, groups: usize },
+    /// A process' processor time since its start and its resident memory.
+    Usage { process: ProcessName, processor_ms: f64, memory_mb: f64 },
+    /// A phase begins.
     Phase(Phase),
-    /// A group has this new primary, and this router is the one that sees it.
-    PrimaryChanged {
-        observer: Member,
-        group: u32,
-        host: u32,
-    },
-    /// All routers of a zone were killed, or its processes were started again.
-    ZoneLost {
-        zone: usize,
-    },
-    ZoneBack {
-        zone: usize,
-    },
-    /// A process was stopped, or goes on.
-    Stopped {
-        process: ProcessName,
-        on: bool,
-    },
+    /// A group has a new primary, which this router observes.
+    PrimaryChanged { observer: MemberId, group: u32, host: u32 },
+    /// All processes of a zone were killed.
+    ZoneLost { zone: usize },
+    /// All processes of a zone were restarted and are ready.
+    ZoneBack { zone: usize },
+    /// A process was stopped (`on`) or resumed.
+    Stopped { process: ProcessName, on: bool },
 }
 
-/// When something was seen, in ms since the start that all processes agree on.
+/// An event with its time, in ms since the epoch that all processes of the test share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub at: f64,
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,9 +1,9 @@
-//! Scale tests in real time: some hundred hollow routers, many to a process, beside real router processes
+//! Scale tests in real time: several hundred hollow routers, many per process, beside real router processes
 //! on loopback.
 //!
-//! A hollow router runs the real membership, fact and datagram code over a real UDP socket of its own; it
-//! has no clients and no hosts. `docs/design/scale.md` says what is real, what is hollow and how a verdict
-//! is reached.
+//! A hollow router is a simulated member of the tier without traffic: it runs the real membership, fact and
+//! datagram code over its own UDP socket, but has no clients and no hosts. `docs/design/scale.md` describes
+//! what is real, what is hollow and how a verdict is reached.
 
 pub mod fault;
 pub mod hollow;
--- a/crates/lab/src/scale/recorder.rs
+++ b/crates/lab/src/scale/recorder.rs
@@ -1,57 +1,57 @@
-//! Collects what all processes saw, and what all routers believe at present as far as that says.
+//! Collects the events of all processes and derives from them each router's view of the members.
 
 use super::message::{Entry, Event};
-use super::plan::{Member, Plan};
+use super::plan::{MemberId, Plan};
 use crate::tier::net::Epoch;
 use std::collections::{HashMap, HashSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What is so and what each hollow router believes, after some entries.
+/// The state of the test after a number of entries, and the members each hollow router marks dead.
 #[derive(Clone, Debug)]
 pub struct View {
     zones: Vec<usize>,
     hollow: usize,
-    slices: Vec<Vec<Member>>,
-    /// By member: its process runs.
+    process_members: Vec<Vec<MemberId>>,
+    /// By member: whether its process runs.
     pub alive: Vec<bool>,
-    /// By member: its zone was lost before, whether it is back or not.
-    lost_before: Vec<bool>,
-    /// By process: its routers run and can be told something.
+    /// By member: whether its zone was ever lost, even if it is back.
+    ever_lost: Vec<bool>,
+    /// By process: whether its routers run and it accepts commands.
     pub ready: Vec<bool>,
-    /// By observer and member: held dead.
-    dead: Vec<Vec<bool>>,
-    /// Who has learned a group's primary, by group and host.
-    learned: HashMap<(u32, u32), HashSet<Member>>,
-    /// Groups' new primaries, and when they were so.
-    pub changes: Vec<Change>,
-    /// What a real router has last said to count.
-    pub real_counts: HashMap<Member, usize>,
-    /// Datagrams that faults have lost, by process.
+    /// By observer and member: whether the observer marks the member dead (does not count it).
+    marked_dead: Vec<Vec<bool>>,
+    /// The routers that know a group's primary, by group and host.
+    knowing_routers: HashMap<(u32, u32), HashSet<MemberId>>,
+    /// The changes of primary so far.
+    pub primary_changes: Vec<ObservedChange>,
+    /// The number of counted members that a real router last logged.
+    pub real_counted: HashMap<MemberId, usize>,
+    /// Datagrams dropped by the injected faults, by process.
     pub lost_datagrams: Vec<u64>,
-    /// Groups whose primary a real router has last said to know.
-    pub real_groups: HashMap<Member, usize>,
+    /// The number of groups with a known primary that a real router last logged.
+    pub real_known_groups: HashMap<MemberId, usize>,
 }
 
-/// A group's new primary, as one router saw it.
+/// A group's new primary and the time at which one router observed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Change {
+pub struct ObservedChange {
     pub at: f64,
     pub group: u32,
     pub host: u32,
 }
 
-/// Pairs of an observer and a member: how many there are, and in how many the observer holds the member dead.
+/// Pairs of an observer and a member: the total, and those in which the observer marks the member dead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pairs {
-    pub all: usize,
-    pub held_dead: usize,
+    pub total: usize,
+    pub marked_dead: usize,
 }
 
 impl Pairs {
-    /// The share that is held dead; none where there are no pairs.
+    /// The share that is marked dead; none if there are no pairs.
     pub fn share(&self) -> Option<f64> {
-        (self.all > 0).then(|| self.held_dead as f64 / self.all as f64)
+        (self.total > 0).then(|| self.marked_dead as f64 / self.total as f64)
     }
 }
 
@@ -61,44 +61,46 @@
         View {
             zones: plan.all_members().map(|member| plan.zone(member)).collect(),
             hollow: plan.hollow,
-            slices: (0..plan.processes).map(|process| plan.slice(process)).collect(),
+            process_members: (0..plan.processes).map(|process| plan.members_of_process(process)).collect(),
             alive: vec![true; members],
-            lost_before: vec![false; members],
+            ever_lost: vec![false; members],
             ready: vec![false; plan.processes],
-            dead: vec![vec![false; members]; plan.hollow],
-            learned: HashMap::new(),
-            changes: Vec::new(),
-            real_counts: HashMap::new(),
+            marked_dead: vec![vec![false; members]; plan.hollow],
+            knowing_routers: HashMap::new(),
+            primary_changes: Vec::new(),
+            real_counted: HashMap::new(),
             lost_datagrams: vec![0; plan.processes],
-            real_groups: HashMap::new(),
+            real_known_groups: HashMap::new(),
         }
     }
 
-    /// Takes in one entry.
+    /// Updates the view with one entry.
     pub fn apply(&mut self, entry: &Entry) {
         match entry.event {
             Event::Ready { process } => {
                 self.ready[process] = true;
-                for member in &self.slices[process] {
-                    self.dead[usize::from(*member)].fill(false);
+                for member in &self.process_members[process] {
+                    self.marked_dead[usize::from(*member)].fill(false);
                 }
             }
             Event::Belief { observer, member, counts } => {
-                let held =
-                    self.dead.get_mut(usize::from(observer)).and_then(|d| d.get_mut(usize::from(member)));
-                if let Some(held) = held {
-                    *held = !counts;
+                let is_marked_dead = self
+                    .marked_dead
+                    .get_mut(usize::from(observer))
+                    .and_then(|d| d.get_mut(usize::from(member)));
+                if let Some(is_marked_dead) = is_marked_dead {
+                    *is_marked_dead = !counts;
                 }
             }
             Event::Primary { observer, group, host } => {
-                self.learned.entry((group, host)).or_default().insert(observer);
+                self.knowing_routers.entry((group, host)).or_default().insert(observer);
             }
             Event::PrimaryChanged { group, host, .. } => {
-                self.changes.push(Change { at: entry.at, group, host });
+                self.primary_changes.push(ObservedChange { at: entry.at, group, host });
             }
             Event::RealFigures { member, counted, groups, .. } => {
-                self.real_counts.insert(member, counted);
-                self.real_groups.insert(member, groups);
+                self.real_counted.insert(member, counted);
+                self.real_known_groups.insert(member, groups);
             }
             Event::Totals { process, totals } => self.lost_datagrams[process] = totals.lost,
             Event::ZoneLost { zone } => self.set_zone(zone, false),
@@ -108,44 +110,45 @@
     }
 
     fn set_zone(&mut self, zone: usize, alive: bool) {
-        for (member, of) in self.zones.iter().enumerate() {
-            if *of == zone {
+        for (member, member_zone) in self.zones.iter().enumerate() {
+            if *member_zone == zone {
                 self.alive[member] = alive;
-                self.lost_before[member] = true;
+                self.ever_lost[member] = true;
             }
         }
         if !alive {
-            let lost = |slice: &[Member]| slice.first().is_some_and(|m| self.zones[usize::from(*m)] == zone);
-            for (process, slice) in self.slices.iter().enumerate() {
-                if lost(slice) {
+            let lost =
+                |members: &[MemberId]| members.first().is_some_and(|m| self.zones[usize::from(*m)] == zone);
+            for (process, members) in self.process_members.iter().enumerate() {
+                if lost(members) {
                     self.ready[process] = false;
                 }
             }
         }
     }
 
-    pub fn zone(&self, member: Member) -> usize {
+    pub fn zone(&self, member: MemberId) -> usize {
         self.zones[usize::from(member)]
     }
 
-    /// Whether an observer holds a member dead.
-    pub fn holds_dead(&self, observer: Member, member: Member) -> bool {
-        self.dead[usize::from(observer)][usize::from(member)]
+    /// Whether an observer marks a member dead.
+    pub fn marks_dead(&self, observer: MemberId, member: MemberId) -> bool {
+        self.marked_dead[usize::from(observer)][usize::from(member)]
     }
 
-    /// Hollow routers that run.
-    pub fn observers(&self) -> impl Iterator<Item = Member> + '_ {
-        (0..self.hollow as Member).filter(|member| self.alive[usize::from(*member)])
+    /// The live hollow routers.
+    pub fn observers(&self) -> impl Iterator<Item = MemberId> + '_ {
+        (0..self.hollow as MemberId).filter(|member| self.alive[usize::from(*member)])
     }
 
-    /// Pairs of a live observer and another member that is chosen.
-    pub fn pairs(&self, chosen: impl Fn(Member, Member) -> bool) -> Pairs {
+    /// Pairs of a live observer and another member for which `is_selected` is true.
+    pub fn pairs(&self, is_selected: impl Fn(MemberId, MemberId) -> bool) -> Pairs {
         let mut pairs = Pairs::default();
         for observer in self.observers() {
-            for member in 0..self.zones.len() as Member {
-                if member != observer && chosen(observer, member) {
-                    pairs.all += 1;
-                    pairs.held_dead += usize::from(self.holds_dead(observer, member));
+            for member in 0..self.zones.len() as MemberId {
+                if member != observer && is_selected(observer, member) {
+                    pairs.total += 1;
+                    pairs.marked_dead += usize::from(self.marks_dead(observer, member));
                 }
             }
         }
@@ -162,82 +165,85 @@
         self.pairs(|_, member| self.alive[usize::from(member)])
     }
 
-    /// Pairs of a live observer and another member that never was lost.
-    pub fn unharmed_pairs(&self) -> Pairs {
-        self.pairs(|_, member| !self.lost_before[usize::from(member)])
+    /// Pairs of a live observer and another member that was never lost.
+    pub fn never_lost_pairs(&self) -> Pairs {
+        self.pairs(|_, member| !self.ever_lost[usize::from(member)])
     }
 
     /// Pairs of a live observer and another live member that was lost before.
     pub fn returned_pairs(&self) -> Pairs {
-        self.pairs(|_, member| self.alive[usize::from(member)] && self.lost_before[usize::from(member)])
+        self.pairs(|_, member| self.alive[usize::from(member)] && self.ever_lost[usize::from(member)])
     }
 
     /// Whether a router knows the primary that a group has changed to.
-    pub fn knows(&self, observer: Member, change: &Change) -> bool {
-        self.learned.get(&(change.group, change.host)).is_some_and(|all| all.contains(&observer))
+    pub fn knows_primary(&self, observer: MemberId, change: &ObservedChange) -> bool {
+        self.knowing_routers
+            .get(&(change.group, change.host))
+            .is_some_and(|routers| routers.contains(&observer))
     }
 
-    pub fn live_members(&self) -> usize {
+    pub fn live_member_count(&self) -> usize {
         self.alive.iter().filter(|alive| **alive).count()
     }
 }
 
-struct Held {
+/// All entries and the view after them.
+struct State {
     view: View,
     entries: Vec<Entry>,
 }
 
-/// Takes entries from many threads.
+/// Collects entries from many threads.
 pub struct Recorder {
     epoch: Epoch,
-    held: Mutex<Held>,
+    state: Mutex<State>,
 }
 
-/// How often a condition that somebody waits for is looked at; looking costs more than an entry.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which an awaited condition is evaluated; evaluating it costs more than recording an entry.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Recorder {
     pub fn new(plan: &Plan, epoch: Epoch) -> Recorder {
-        let held = Held { view: View::new(plan), entries: Vec::new() };
-        Recorder { epoch, held: Mutex::new(held) }
+        let state = State { view: View::new(plan), entries: Vec::new() };
+        Recorder { epoch, state: Mutex::new(state) }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an entry that another process has dated.
-    pub fn take(&self, entry: Entry) {
-        let mut held = self.lock();
-        held.view.apply(&entry);
-        held.entries.push(entry);
+    /// Records an entry with the timestamp of another process.
+    pub fn add(&self, entry: Entry) {
+        let mut state = self.lock();
+        state.view.apply(&entry);
+        state.entries.push(entry);
     }
 
-    /// Takes what was seen just now.
-    pub fn note(&self, event: Event) {
-        self.take(Entry { at: self.epoch.now(), event });
+    /// Records an event with the current time.
+    pub fn record(&self, event: Event) {
+        self.add(Entry { at: self.epoch.now(), event });
     }
 
-    /// Waits until the condition is so; false where the time is over before.
-    pub fn wait_until(&self, bound: Duration, condition: impl Fn(&View) -> bool) -> bool {
-        let until = Instant::now() + bound;
-        let mut held = self.lock();
+    /// Waits until the condition holds; false if it doesn't within the time limit.
+    pub fn wait_until(&self, timeout: Duration, condition: impl Fn(&View) -> bool) -> bool {
+        let deadline = Instant::now() + timeout;
+        let mut state = self.lock();
         loop {
-            if condition(&held.view) {
+            if condition(&state.view) {
                 return true;
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            drop(held);
-            // Entries come in thousands: they are let come together.
-            std::thread::sleep(LOOK.min(left));
-            held = self.lock();
+            drop(state);
+            // Entries arrive by the thousand, so that the condition is not evaluated after each.
+            std::thread::sleep(POLL_INTERVAL.min(remaining));
+            state = self.lock();
         }
     }
 
-    /// All entries so far, in the order of their times.
+    /// All entries so far, in order of time.
     pub fn entries(&self) -> Vec<Entry> {
         let mut entries = self.lock().entries.clone();
         entries.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,17 +1,17 @@
-//! Writes a verdict as lines and as one HTML file.
+//! Writes verdicts as text lines and as an HTML page.
 
-use super::judge::{Aim, Figure, Point, Verdict};
+use super::judge::{Figure, Point, Target, Verdict};
 use super::message::Phase;
 use plotters::prelude::*;
 use std::path::Path;
 
-/// What was run.
+/// One test of the report.
 pub struct Section<'a> {
     pub title: &'a str,
     pub verdict: &'a Verdict,
 }
 
-fn show(value: Option<f64>) -> String {
+fn format_value(value: Option<f64>) -> String {
     match value {
         None => "not measured".into(),
         Some(value) if value.abs() >= 100.0 => format!("{value:.0}"),
@@ -20,31 +20,37 @@
     }
 }
 
-fn aim(figure: &Figure) -> String {
-    match figure.aim {
+fn format_target(figure: &Figure) -> String {
+    match figure.target {
         None => String::new(),
-        Some(Aim::AtLeast(least)) => format!(" (aim: at least {least})"),
-        Some(Aim::AtMost(most)) => format!(" (aim: at most {most})"),
+        Some(Target::AtLeast(min)) => format!(" (target: at least {min})"),
+        Some(Target::AtMost(max)) => format!(" (target: at most {max})"),
     }
 }
 
-fn mark(figure: &Figure) -> &'static str {
-    match (figure.aim, figure.is_missed()) {
+fn format_result(figure: &Figure) -> &'static str {
+    match (figure.target, figure.is_missed()) {
         (None, _) => "",
         (Some(_), false) => "kept",
         (Some(_), true) => "MISSED",
     }
 }
 
-/// One line for each figure.
-pub fn lines(verdict: &Verdict) -> Vec<String> {
+/// One line per figure.
+pub fn summary_lines(verdict: &Verdict) -> Vec<String> {
     let line = |figure: &Figure| {
-        format!("{:6} {}: {}{}", mark(figure), figure.measure, show(figure.value), aim(figure))
+        format!(
+            "{:6} {}: {}{}",
+            format_result(figure),
+            figure.measure,
+            format_value(figure.value),
+            format_target(figure)
+        )
     };
     verdict.figures.iter().map(line).collect()
 }
 
-/// Writes all sections into one page.
+/// Writes all sections to one HTML page.
 pub fn write(to: &Path, heading: &str, sections: &[Section<'_>]) -> Result<(), String> {
     let mut page =
         format!("<!doctype html><meta charset=utf-8><title>{heading}</title>\n<h1>{heading}</h1>\n");
@@ -58,13 +64,14 @@
 fn table(verdict: &Verdict) -> String {
     let mut rows = String::new();
     for figure in &verdict.figures {
-        let (value, aim, mark) = (show(figure.value), aim(figure), mark(figure));
-        rows.push_str(&format!("<tr><td>{}<td>{value}<td>{aim}<td>{mark}\n", figure.measure));
+        let (value, target, result) =
+            (format_value(figure.value), format_target(figure), format_result(figure));
+        rows.push_str(&format!("<tr><td>{}<td>{value}<td>{target}<td>{result}\n", figure.measure));
     }
-    format!("<table border=1>\n<tr><th>figure<th>value<th>aim<th>\n{rows}</table>\n")
+    format!("<table border=1>\n<tr><th>figure<th>value<th>target<th>\n{rows}</table>\n")
 }
 
-/// The shares of pairs over time.
+/// Plots the shares over time as SVG.
 fn plot(verdict: &Verdict) -> Result<String, Box<dyn std::error::Error>> {
     let seconds = verdict.curve.last().map_or(1.0, |point| point.at / 1e3);
     let mut svg = String::new();
@@ -87,9 +94,9 @@
         }
         type Share = fn(&Point) -> Option<f64>;
         let curves: [(&str, RGBColor, Share); 4] = [
-            ("lost members held dead", RED, |point| point.lost_held_dead),
-            ("live, never lost, held dead", BLUE, |point| point.live_held_dead),
-            ("returned members held dead", MAGENTA, |point| point.returned_held_dead),
+            ("lost members marked dead", RED, |point| point.lost_marked_dead),
+            ("live, never lost, marked dead", BLUE, |point| point.live_marked_dead),
+            ("returned members marked dead", MAGENTA, |point| point.returned_marked_dead),
             ("new primaries known", GREEN, |point| point.primaries_known),
         ];
         for (name, color, share) in curves {
