--- a/crates/lab/src/scale/runner.rs
+++ b/crates/lab/src/scale/runner.rs
@@ -234,7 +234,7 @@
     fn record_usage(&mut self) {
         for (name, process) in &self.processes {
             let pid = process.child.id();
-            let (processor_ms, memory_mb) = (crate::process::used(pid), resident_mb(pid));
+            let (processor_ms, memory_mb) = (crate::process::processor_time_ms(pid), resident_mb(pid));
             self.recorder.record(Event::Usage { process: *name, processor_ms, memory_mb });
         }
     }
