--- a/crates/lab/src/capacity/clients.rs
+++ b/crates/lab/src/capacity/clients.rs
@@ -1,30 +1,31 @@
-//! What idle client connections cost a router.
+//! Measures the cost of idle client connections to a router.
 
 use super::databases::Databases;
-use super::measure::{self, Spread, Windows};
+use super::measure::{self, SamplingWindows, Summary};
 use super::ready;
-use super::setup::{self, AMPLE};
+use super::setup::{self, AMPLE_GRANT};
 use super::table::Row;
 use crate::client::Client;
 use crate::process::Process;
 use std::path::Path;
 use std::time::Duration;
 
-/// Hosts in the router's list: one group.
-const HOSTS: usize = setup::GROUP_SIZE;
+/// Number of hosts in the router's list: one group.
+const HOST_COUNT: usize = setup::GROUP_SIZE;
 
-/// How long a client may take to open.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time for a client to connect, including retries.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// One row: a number of idle clients and what they cost.
 pub struct ClientsRow {
     pub clients: usize,
     pub threads: usize,
     pub memory_mb: f64,
-    pub core_percent: Spread,
-    /// Clients that the router had closed by the end.
+    pub core_percent: Summary,
+    /// Clients whose connection the router had closed by the end.
     pub closed: usize,
-    /// Processor time of opening one, in ms.
-    pub open_ms: f64,
+    /// Processor time to open one client connection.
+    pub open_processor_ms: f64,
 }
 
 impl Row for ClientsRow {
@@ -43,28 +44,32 @@
             self.threads.to_string(),
             format!("{:.1}", self.memory_mb),
             self.core_percent.cell(3),
-            format!("{:.4}", self.open_ms),
+            format!("{:.4}", self.open_processor_ms),
             self.closed.to_string(),
         ]
     }
 }
 
-pub fn measure(router: &Path, clients: usize, windows: Windows) -> Result<ClientsRow, String> {
+/// Opens `clients` connections and measures the router while they are idle.
+pub fn measure(router: &Path, clients: usize, windows: SamplingWindows) -> Result<ClientsRow, String> {
     let databases = Databases::start()?;
-    let known = setup::whole_list(1, HOSTS, databases.port);
-    let nowhere = "127.0.0.1:1".parse().map_err(|_| "no address")?;
-    let process =
-        Process::start_with_configuration(router, &setup::configuration(&AMPLE, nowhere, Some(&known)))?;
-    let before = process.processor_time_ms();
-    let open = |number| {
-        ready::open(process.addr, PATIENCE).map_err(|e| format!("client {number} of {clients}: {e}"))
+    let known_list = setup::full_list(1, HOST_COUNT, databases.port);
+    let no_list_service = "127.0.0.1:1".parse().map_err(|_| "invalid address")?;
+    let process = Process::start_with_configuration(
+        router,
+        &setup::configuration(&AMPLE_GRANT, no_list_service, Some(&known_list)),
+    )?;
+    let used_before_ms = process.processor_time_ms();
+    let connect = |number| {
+        ready::connect(process.addr, CONNECT_TIMEOUT)
+            .map_err(|e| format!("client {number} of {clients}: {e}"))
     };
-    let mut kept: Vec<Client> = (0..clients).map(open).collect::<Result<_, _>>()?;
-    let open_ms = (process.processor_time_ms() - before) / clients.max(1) as f64;
+    let mut open_clients: Vec<Client> = (0..clients).map(connect).collect::<Result<_, _>>()?;
+    let open_processor_ms = (process.processor_time_ms() - used_before_ms) / clients.max(1) as f64;
     std::thread::sleep(Duration::from_millis(200));
     let core_percent = measure::core_percent(&process, windows);
     let (threads, memory_mb) = process.thread_count_and_memory_mb();
-    let closed = kept.iter_mut().map(|client| usize::from(client.is_closed())).sum();
-    let open_ms = if clients > 0 { open_ms } else { 0.0 };
-    Ok(ClientsRow { clients, threads, memory_mb, core_percent, closed, open_ms })
+    let closed = open_clients.iter_mut().map(|client| usize::from(client.is_closed())).sum();
+    let open_processor_ms = if clients > 0 { open_processor_ms } else { 0.0 };
+    Ok(ClientsRow { clients, threads, memory_mb, core_percent, closed, open_processor_ms })
 }
--- a/crates/lab/src/capacity/databases.rs
+++ b/crates/lab/src/capacity/databases.rs
@@ -1,5 +1,5 @@
-//! Stand-in database hosts, thousands in one loop: each has an address of its own at one listener, answers at
-//! once, and is counted.
+//! Stand-in database hosts, thousands in one event loop. Each has its own address at a shared listener and
+//! answers at once; connections and messages are counted.
 
 use super::setup;
 use crate::tier::net::{self, BufferedStream};
@@ -13,35 +13,37 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const LISTENER: Token = Token(0);
-const TURN: Duration = Duration::from_millis(50);
-/// Longest startup message and statement that are taken.
-const STARTUP_BYTES: usize = 10_000;
-const STATEMENT_BYTES: usize = 1 << 20;
-/// How far replicas are behind, in ms.
+/// Longest wait for events before the loop checks for commands and the stop flag.
+const POLL_TIMEOUT: Duration = Duration::from_millis(50);
+/// Longest startup message that is accepted.
+const MAX_STARTUP_BYTES: usize = 10_000;
+/// Longest statement that is accepted.
+const MAX_STATEMENT_BYTES: usize = 1 << 20;
+/// Replication lag that replicas report.
 const LAG_MS: f64 = 20.0;
 
 /// How the hosts of some zones fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// Connections are broken off, and new ones are reset.
+    /// Open connections are reset, and so are new ones.
     Lost,
-    /// Connections stand and new ones are accepted, but nothing is read or answered.
+    /// Connections stay open and new ones are accepted, but nothing is read or answered.
     Silent,
 }
 
-/// The outage of each zone.
+/// The outage of each zone, if any.
 type Outages = [Option<Outage>; setup::ZONES];
 
-/// Asks the loop to let these zones fail so, or work again; answered once it does.
-struct Order {
+/// Sets or clears the outage of some zones; the event loop confirms it on `applied`.
+struct OutageCommand {
     zones: Vec<usize>,
     outage: Option<Outage>,
-    done: Sender<()>,
+    applied: Sender<()>,
 }
 
-/// What the hosts have seen since their start, but for `open`, which is what is so now.
+/// Totals over all hosts since the start, except for `open`: the connections that are open now.
 #[derive(Default)]
-pub struct Counts {
+pub struct Counters {
     pub accepted: AtomicU64,
     pub reset: AtomicU64,
     pub open: AtomicU64,
@@ -51,79 +53,82 @@
     pub bytes_in: AtomicU64,
 }
 
-/// The counts at one time.
+/// The counters at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counted {
+pub struct CounterValues {
     pub accepted: u64,
-    /// Connections refused for an outage.
+    /// Connections reset on accept because of an outage.
     pub reset: u64,
     pub open: u64,
     pub reads: u64,
-    /// Reads that a host answered although its zone was to fail.
+    /// Reads that a host answered although its zone was set to fail.
     pub reads_in_outage: u64,
     pub probes: u64,
     pub bytes_in: u64,
 }
 
+/// Handle of the stand-in hosts and their event loop, which stops when the handle is dropped.
 pub struct Databases {
-    counts: Arc<Counts>,
-    over: Arc<AtomicBool>,
-    orders: Sender<Order>,
+    counters: Arc<Counters>,
+    stop_requested: Arc<AtomicBool>,
+    commands: Sender<OutageCommand>,
     thread: Option<JoinHandle<()>>,
+    /// Port of all hosts.
     pub port: u16,
 }
 
 impl Databases {
+    /// Starts the event loop in a thread of its own.
     pub fn start() -> Result<Databases, String> {
         let listener = net::listen(0)?;
         let port = listener.local_addr().map_err(|e| e.to_string())?.port();
-        let counts = Arc::new(Counts::default());
-        let over = Arc::new(AtomicBool::new(false));
-        let (orders, ordered) = channel();
+        let counters = Arc::new(Counters::default());
+        let stop_requested = Arc::new(AtomicBool::new(false));
+        let (commands, command_receiver) = channel();
         let poll = Poll::new().map_err(|e| e.to_string())?;
-        let mut hosts = Loop {
+        let mut hosts = EventLoop {
             listener,
             poll,
-            counts: counts.clone(),
-            over: over.clone(),
-            orders: ordered,
+            counters: counters.clone(),
+            stop_requested: stop_requested.clone(),
+            commands: command_receiver,
             outages: Outages::default(),
             connections: HashMap::new(),
-            next: 1,
+            next_number: 1,
         };
-        let registered = hosts.poll.registry().register(&mut hosts.listener, LISTENER, Interest::READABLE);
-        registered.map_err(|e| e.to_string())?;
+        let registration = hosts.poll.registry().register(&mut hosts.listener, LISTENER, Interest::READABLE);
+        registration.map_err(|e| e.to_string())?;
         let thread = Some(std::thread::spawn(move || hosts.run()));
-        Ok(Databases { counts, over, orders, thread, port })
+        Ok(Databases { counters, stop_requested, commands, thread, port })
     }
 
-    /// From now on the hosts of these zones fail so, or work again.
+    /// Makes the hosts of these zones fail, or restores them with `None`; returns once this is in effect.
     pub fn set_outage(&self, zones: &[usize], outage: Option<Outage>) {
-        let (done, is_done) = channel();
-        let order = Order { zones: zones.to_vec(), outage, done };
-        if self.orders.send(order).is_ok() {
-            // An error tells that the loop has ended: nothing is left that could fail.
-            let _ = is_done.recv();
+        let (applied, applied_receiver) = channel();
+        let command = OutageCommand { zones: zones.to_vec(), outage, applied };
+        if self.commands.send(command).is_ok() {
+            // An error means that the event loop has ended, so there is no host left that could fail.
+            let _ = applied_receiver.recv();
         }
     }
 
-    pub fn counted(&self) -> Counted {
-        let counts = &self.counts;
-        Counted {
-            accepted: counts.accepted.load(Relaxed),
-            reset: counts.reset.load(Relaxed),
-            open: counts.open.load(Relaxed),
-            reads: counts.reads.load(Relaxed),
-            reads_in_outage: counts.reads_in_outage.load(Relaxed),
-            probes: counts.probes.load(Relaxed),
-            bytes_in: counts.bytes_in.load(Relaxed),
+    pub fn counter_values(&self) -> CounterValues {
+        let counters = &self.counters;
+        CounterValues {
+            accepted: counters.accepted.load(Relaxed),
+            reset: counters.reset.load(Relaxed),
+            open: counters.open.load(Relaxed),
+            reads: counters.reads.load(Relaxed),
+            reads_in_outage: counters.reads_in_outage.load(Relaxed),
+            probes: counters.probes.load(Relaxed),
+            bytes_in: counters.bytes_in.load(Relaxed),
         }
     }
 }
 
 impl Drop for Databases {
     fn drop(&mut self) {
-        self.over.store(true, Relaxed);
+        self.stop_requested.store(true, Relaxed);
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
         }
@@ -131,134 +136,138 @@
 }
 
 struct Connection {
-    wire: BufferedStream,
+    socket: BufferedStream,
     zone: usize,
-    primary: bool,
-    opened: bool,
+    is_primary: bool,
+    started_up: bool,
 }
 
-struct Loop {
+struct EventLoop {
     listener: mio::net::TcpListener,
     poll: Poll,
-    counts: Arc<Counts>,
-    over: Arc<AtomicBool>,
-    orders: Receiver<Order>,
+    counters: Arc<Counters>,
+    stop_requested: Arc<AtomicBool>,
+    commands: Receiver<OutageCommand>,
     outages: Outages,
     connections: HashMap<usize, Connection>,
-    next: usize,
+    next_number: usize,
 }
 
-impl Loop {
+impl EventLoop {
     fn run(&mut self) {
         let mut events = Events::with_capacity(1_024);
-        while !self.over.load(Relaxed) {
-            if self.poll.poll(&mut events, Some(TURN)).is_err() {
+        while !self.stop_requested.load(Relaxed) {
+            if self.poll.poll(&mut events, Some(POLL_TIMEOUT)).is_err() {
                 continue;
             }
             for event in &events {
                 match event.token() {
                     LISTENER => self.accept(),
-                    token => self.look(token.0),
+                    token => self.serve(token.0),
                 }
             }
-            while let Ok(order) = self.orders.try_recv() {
-                self.obey(&order);
+            while let Ok(command) = self.commands.try_recv() {
+                self.apply(&command);
             }
         }
     }
 
-    fn obey(&mut self, order: &Order) {
-        for zone in order.zones.iter().filter(|zone| **zone < setup::ZONES) {
-            self.outages[*zone] = order.outage;
+    fn apply(&mut self, command: &OutageCommand) {
+        for zone in command.zones.iter().filter(|zone| **zone < setup::ZONES) {
+            self.outages[*zone] = command.outage;
         }
-        self.outages_changed();
-        // Whoever asked may have gone.
-        let _ = order.done.send(());
+        self.apply_outages();
+        // The receiver may have been dropped.
+        let _ = command.applied.send(());
     }
 
-    /// Breaks off what is lost, and looks for what came while its host was silent.
-    fn outages_changed(&mut self) {
+    /// Closes the connections of lost zones and serves all others, for data that arrived while they were
+    /// silent.
+    fn apply_outages(&mut self) {
         let numbers: Vec<usize> = self.connections.keys().copied().collect();
         for number in numbers {
             let zone = self.connections.get(&number).map_or(0, |connection| connection.zone);
             if self.outages[zone] == Some(Outage::Lost) {
                 self.close(number);
             } else {
-                self.look(number);
+                self.serve(number);
             }
         }
     }
 
     fn close(&mut self, number: usize) {
         if let Some(connection) = self.connections.remove(&number) {
-            connection.wire.reset();
-            self.counts.open.fetch_sub(1, Relaxed);
+            connection.socket.reset();
+            self.counters.open.fetch_sub(1, Relaxed);
         }
     }
 
     fn accept(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
-            let mut wire = BufferedStream::new(stream);
-            let Some(host) = wire.local_addr().and_then(|at| setup::host_of(*at.ip())) else { continue };
+            let mut socket = BufferedStream::new(stream);
+            let Some(host) = socket.local_addr().and_then(|at| setup::host_of(*at.ip())) else { continue };
             let zone = setup::zone_of(host);
             if self.outages[zone] == Some(Outage::Lost) {
-                wire.reset();
-                self.counts.reset.fetch_add(1, Relaxed);
+                socket.reset();
+                self.counters.reset.fetch_add(1, Relaxed);
                 continue;
             }
-            let number = self.next;
-            self.next += 1;
-            if wire.register(self.poll.registry(), Token(number)).is_err() {
+            let number = self.next_number;
+            self.next_number += 1;
+            if socket.register(self.poll.registry(), Token(number)).is_err() {
                 continue;
             }
-            self.counts.accepted.fetch_add(1, Relaxed);
-            self.counts.open.fetch_add(1, Relaxed);
-            let connection = Connection { wire, zone, primary: setup::is_primary(host), opened: false };
+            self.counters.accepted.fetch_add(1, Relaxed);
+            self.counters.open.fetch_add(1, Relaxed);
+            let connection =
+                Connection { socket, zone, is_primary: setup::is_primary(host), started_up: false };
             self.connections.insert(number, connection);
         }
     }
 
-    fn look(&mut self, number: usize) {
+    fn serve(&mut self, number: usize) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
         if self.outages[connection.zone] == Some(Outage::Silent) {
             return;
         }
-        let had = connection.wire.received.len();
-        connection.wire.read();
-        self.counts.bytes_in.fetch_add((connection.wire.received.len() - had) as u64, Relaxed);
-        let reads = self.counts.reads.load(Relaxed);
-        let sound = connection.answer(&self.counts);
+        let length_before = connection.socket.received.len();
+        connection.socket.read();
+        self.counters.bytes_in.fetch_add((connection.socket.received.len() - length_before) as u64, Relaxed);
+        let reads_before = self.counters.reads.load(Relaxed);
+        let is_valid = connection.answer_messages(&self.counters);
         if self.outages[connection.zone].is_some() {
-            self.counts.reads_in_outage.fetch_add(self.counts.reads.load(Relaxed) - reads, Relaxed);
+            self.counters
+                .reads_in_outage
+                .fetch_add(self.counters.reads.load(Relaxed) - reads_before, Relaxed);
         }
-        connection.wire.write();
-        if connection.wire.closed || !sound {
+        connection.socket.write();
+        if connection.socket.closed || !is_valid {
             self.connections.remove(&number);
-            self.counts.open.fetch_sub(1, Relaxed);
+            self.counters.open.fetch_sub(1, Relaxed);
         }
     }
 }
 
 impl Connection {
-    /// Answers what has come whole; false where it is no message.
-    fn answer(&mut self, counts: &Counts) -> bool {
-        if !self.opened {
-            match frame::startup(&self.wire.received, STARTUP_BYTES) {
-                Ok(Some((_, body))) => drop(self.wire.received.drain(..body.end)),
+    /// Answers all complete messages; false if the input is malformed or is not a query.
+    fn answer_messages(&mut self, counters: &Counters) -> bool {
+        if !self.started_up {
+            match frame::startup(&self.socket.received, MAX_STARTUP_BYTES) {
+                Ok(Some((_, body))) => drop(self.socket.received.drain(..body.end)),
                 Ok(None) => return true,
                 Err(_) => return false,
             }
-            self.opened = true;
-            encode::startup_reply(&mut self.wire.outgoing);
+            self.started_up = true;
+            encode::startup_reply(&mut self.socket.outgoing);
         }
         loop {
-            match frame::message(&self.wire.received, STATEMENT_BYTES) {
+            match frame::message(&self.socket.received, MAX_STATEMENT_BYTES) {
                 Ok(Some((b'Q', body))) => {
-                    let is_read = self.wire.received[body.clone()].starts_with(b"SELECT");
-                    self.wire.received.drain(..body.end);
-                    let count = if is_read { &counts.reads } else { &counts.probes };
-                    count.fetch_add(1, Relaxed);
-                    self.row(if is_read { "SELECT 1" } else { "SHOW" });
+                    let is_read = self.socket.received[body.clone()].starts_with(b"SELECT");
+                    self.socket.received.drain(..body.end);
+                    let counter = if is_read { &counters.reads } else { &counters.probes };
+                    counter.fetch_add(1, Relaxed);
+                    self.write_row(if is_read { "SELECT 1" } else { "SHOW" });
                 }
                 Ok(None) => return true,
                 Ok(Some(_)) | Err(_) => return false,
@@ -266,27 +275,27 @@
         }
     }
 
-    /// A row, and beside it the host's role and position.
-    fn row(&mut self, tag: &str) {
-        let (role, lag) = if self.primary { ("writer", 0.0) } else { ("reader", LAG_MS) };
-        let position = unix_ms() - lag;
-        let described = [&1u16.to_be_bytes()[..], b"v\0", &[0; 18]].concat();
+    /// Writes a result of one row, followed by the host's role and commit clock as parameters.
+    fn write_row(&mut self, tag: &str) {
+        let (role, lag) = if self.is_primary { ("writer", 0.0) } else { ("reader", LAG_MS) };
+        let commit_clock_ms = unix_now_ms() - lag;
+        let description = [&1u16.to_be_bytes()[..], b"v\0", &[0; 18]].concat();
         let value = b"\\x9f";
         let row = [&1u16.to_be_bytes()[..], &(value.len() as u32).to_be_bytes(), value].concat();
-        let out = &mut self.wire.outgoing;
-        out.extend(message(b'T', &described));
-        out.extend(message(b'D', &row));
-        out.extend(message(b'C', format!("{tag}\0").as_bytes()));
-        out.extend(message(b'S', format!("server_role\0{role}\0").as_bytes()));
-        out.extend(message(b'S', format!("commit_clock\0{position:.3}\0").as_bytes()));
-        out.extend_from_slice(&encode::READY_FOR_QUERY);
+        let outgoing = &mut self.socket.outgoing;
+        outgoing.extend(encode_message(b'T', &description));
+        outgoing.extend(encode_message(b'D', &row));
+        outgoing.extend(encode_message(b'C', format!("{tag}\0").as_bytes()));
+        outgoing.extend(encode_message(b'S', format!("server_role\0{role}\0").as_bytes()));
+        outgoing.extend(encode_message(b'S', format!("commit_clock\0{commit_clock_ms:.3}\0").as_bytes()));
+        outgoing.extend_from_slice(&encode::READY_FOR_QUERY);
     }
 }
 
-fn unix_ms() -> f64 {
+fn unix_now_ms() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1_000.0
 }
 
-fn message(kind: u8, body: &[u8]) -> Vec<u8> {
+fn encode_message(kind: u8, body: &[u8]) -> Vec<u8> {
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
--- a/crates/lab/src/capacity/hosts.rs
+++ b/crates/lab/src/capacity/hosts.rs
@@ -1,59 +1,61 @@
-//! What a router costs by the number of database hosts in its list: quiet, with reads spread over all groups,
-//! and at rest with the connections that those reads have left.
+//! Measures a router's cost by the number of database hosts in its list: without load, with reads spread over
+//! all groups, and at rest with the connections that those reads left open.
 
 use super::databases::Databases;
-use super::list_agent::ListAgent;
-use super::load::{self, Answers, Load, Rate};
-use super::measure::{self, Seen, Windows};
-use super::setup::{self, AMPLE};
+use super::list_service::ListService;
+use super::load::{self, Load, LoadParameters, OutcomeCounts};
+use super::measure::{self, Sample, SamplingWindows};
+use super::setup::{self, AMPLE_GRANT};
 use super::table::Row;
 use crate::process::{Process, ResourceLimits};
 use std::path::Path;
 use std::time::Duration;
 
-/// How long the first list may take.
-const READY_PATIENCE: Duration = Duration::from_secs(60);
+/// Time for the router to accept its first list.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// The load during a sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Quiet,
     Reads,
-    /// The reads have ended; their connections still stand.
+    /// The reads have stopped; their connections to hosts are still open.
     Rest,
 }
 
-/// One measurement to make.
+/// Parameters of one measurement: the number of hosts, the router's grant and the load.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub hosts: usize,
     pub memory_mb: usize,
     pub sockets: usize,
-    pub reads_a_second: f64,
+    pub reads_per_second: f64,
 }
 
 impl Case {
-    /// With a grant that binds nowhere.
-    pub fn ample(hosts: usize, reads_a_second: f64) -> Case {
-        Case { hosts, memory_mb: AMPLE.memory_mb, sockets: AMPLE.sockets, reads_a_second }
+    /// With a grant so large that no limit takes effect.
+    pub fn with_ample_grant(hosts: usize, reads_per_second: f64) -> Case {
+        Case { hosts, memory_mb: AMPLE_GRANT.memory_mb, sockets: AMPLE_GRANT.sockets, reads_per_second }
     }
 }
 
-/// How long the parts of a measurement take.
+/// Durations of the phases of a measurement.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
-    /// Reads before they are looked at, so that connections have been opened and closed as they always are.
+pub struct Schedule {
+    /// Reads before the first sample under load, so that opening and closing of connections is steady.
     pub warm_up: Duration,
-    pub quiet: Windows,
-    pub reads: Windows,
+    pub quiet: SamplingWindows,
+    pub reads: SamplingWindows,
 }
 
+/// One row: the sample of one phase.
 pub struct HostsRow {
     pub case: Case,
     pub phase: Phase,
     pub list_bytes: usize,
-    pub seen: Seen,
-    /// Answers of the whole load, its warm-up included.
-    pub answers: Answers,
+    pub sample: Sample,
+    /// Outcomes of the whole load, including its warm-up.
+    pub outcomes: OutcomeCounts,
 }
 
 impl Row for HostsRow {
@@ -73,52 +75,64 @@
     ];
 
     fn cells(&self) -> Vec<String> {
-        let (seen, answers) = (&self.seen, &self.answers);
+        let (sample, outcomes) = (&self.sample, &self.outcomes);
         let load = match self.phase {
             Phase::Quiet => "quiet".to_string(),
-            Phase::Reads => format!("{} reads a second", self.case.reads_a_second),
-            Phase::Rest => format!("at rest after {} a second", self.case.reads_a_second),
+            Phase::Reads => format!("{} reads a second", self.case.reads_per_second),
+            Phase::Rest => format!("at rest after {} a second", self.case.reads_per_second),
         };
         vec![
             self.case.hosts.to_string(),
             self.case.memory_mb.to_string(),
             load,
             self.list_bytes.to_string(),
-            format!("{:.1}", seen.memory_mb),
-            seen.core_percent.cell(2),
-            seen.connections.to_string(),
-            format!("{:.1}", seen.opened),
-            format!("{:.1}", seen.probes),
-            format!("{:.1}", seen.reads),
-            format!("{:.0}", seen.bytes_to_hosts),
-            answers.cell(),
+            format!("{:.1}", sample.memory_mb),
+            sample.core_percent.cell(2),
+            sample.connections.to_string(),
+            format!("{:.1}", sample.opened_per_second),
+            format!("{:.1}", sample.probes_per_second),
+            format!("{:.1}", sample.reads_per_second),
+            format!("{:.0}", sample.bytes_to_hosts_per_second),
+            outcomes.cell(),
         ]
     }
 }
 
-/// Three rows: quiet, with reads, at rest.
-pub fn measure(router: &Path, case: Case, times: Times, seed: u64) -> Result<Vec<HostsRow>, String> {
+/// Measures three rows: quiet, with reads, at rest.
+pub fn measure(router: &Path, case: Case, schedule: Schedule, seed: u64) -> Result<Vec<HostsRow>, String> {
     let databases = Databases::start()?;
-    let agent = ListAgent::start(case.hosts, databases.port)?;
-    let known = setup::whole_list(1, case.hosts, databases.port);
-    let grant = ResourceLimits { cores: AMPLE.cores, memory_mb: case.memory_mb, sockets: case.sockets };
-    let process =
-        Process::start_with_configuration(router, &setup::configuration(&grant, agent.at, Some(&known)))?;
-    let ready = process.log().wait_for_line("ready with the list", 0, READY_PATIENCE);
-    ready.ok_or_else(|| format!("{} hosts: the router did not get ready", case.hosts))?;
-    let row = |phase, seen, answers| HostsRow { case, phase, list_bytes: known.len(), seen, answers };
+    let list_service = ListService::start(case.hosts, databases.port)?;
+    let known_list = setup::full_list(1, case.hosts, databases.port);
+    let grant = ResourceLimits { cores: AMPLE_GRANT.cores, memory_mb: case.memory_mb, sockets: case.sockets };
+    let process = Process::start_with_configuration(
+        router,
+        &setup::configuration(&grant, list_service.address, Some(&known_list)),
+    )?;
+    let ready = process.log().wait_for_line("ready with the list", 0, READY_TIMEOUT);
+    ready.ok_or_else(|| format!("{} hosts: the router did not become ready", case.hosts))?;
+    let row =
+        |phase, sample, outcomes| HostsRow { case, phase, list_bytes: known_list.len(), sample, outcomes };
 
-    // What the start itself has left to do is not part of being quiet.
+    // Work left over from the start must not count as part of the quiet phase.
     std::thread::sleep(Duration::from_millis(500));
-    let quiet = row(Phase::Quiet, measure::look(&process, &databases, times.quiet), Answers::default());
-    let (a_second, groups) = (case.reads_a_second, setup::groups(case.hosts));
-    let rate = Rate { a_second, groups, clients: load::clients_for(a_second), seed };
-    let load = Load::start(process.addr, rate)?;
-    std::thread::sleep(times.warm_up);
-    let is_served = || load.answers().acked > 0;
-    let seen = measure::look_under_load(&process, &databases, times.reads, is_served);
-    let answers = load.end();
-    let reads = row(Phase::Reads, seen, answers);
-    let rest = row(Phase::Rest, measure::look(&process, &databases, times.quiet), Answers::default());
+    let quiet = row(
+        Phase::Quiet,
+        measure::take_sample(&process, &databases, schedule.quiet),
+        OutcomeCounts::default(),
+    );
+    let (reads_per_second, groups) = (case.reads_per_second, setup::group_count(case.hosts));
+    let parameters =
+        LoadParameters { reads_per_second, groups, clients: load::clients_for_rate(reads_per_second), seed };
+    let load = Load::start(process.addr, parameters)?;
+    std::thread::sleep(schedule.warm_up);
+    let is_served = || load.outcomes().acked > 0;
+    let sample = measure::take_sample_under_load(&process, &databases, schedule.reads, is_served);
+    let outcomes = load.stop();
+    let reads = row(Phase::Reads, sample, outcomes);
+    let rest = row(
+        Phase::Rest,
+        measure::take_sample(&process, &databases, schedule.quiet),
+        OutcomeCounts::default(),
+    );
     Ok(vec![quiet, reads, rest])
 }
--- a/crates/lab/src/capacity/list.rs
+++ b/crates/lab/src/capacity/list.rs
@@ -1,34 +1,37 @@
-//! What the list of hosts costs: the first whole list, one changed host, and a watch that is told nothing.
+//! Measures the cost of the host list: the first full list, a change of one host, and a list watch without
+//! changes.
 
 use super::databases::Databases;
-use super::list_agent::ListAgent;
-use super::measure::{self, Spread, Windows};
+use super::list_service::ListService;
+use super::measure::{self, SamplingWindows, Summary};
 use super::ready;
-use super::setup::{self, AMPLE};
+use super::setup::{self, AMPLE_GRANT};
 use super::table::Row;
 use crate::process::{Process, ResourceLimits};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const TRIES: usize = 10;
+/// Time for each step that is waited for: readiness, a change, a list failure.
+const TIMEOUT: Duration = Duration::from_secs(30);
+const MAX_ATTEMPTS: usize = 10;
 
+/// One row: the cost of a list of a number of hosts.
 pub struct ListRow {
     pub hosts: usize,
     pub memory_granted_mb: usize,
     pub list_bytes: usize,
-    /// From the program's start until it says that it is ready, in ms, and the processor time used by then.
+    /// Time from the start of the process until it reports ready, and the processor time used by then.
     pub ready_ms: f64,
-    pub ready_used_ms: f64,
+    pub ready_processor_ms: f64,
     pub memory_mb: f64,
-    /// One changed host: until the watch is renewed, in ms; processor time of it, and bytes.
-    pub change_ms: Spread,
-    pub change_used_ms: f64,
+    /// A change of one host: time until the router renews its watch, processor time, and bytes sent.
+    pub change_ms: Summary,
+    pub change_processor_ms: f64,
     pub change_bytes: f64,
-    /// Quiet, a second.
-    pub calls_a_second: f64,
-    pub bytes_a_second: f64,
-    pub core_percent: Spread,
+    /// Watch requests, and their bytes in both directions, while the list does not change.
+    pub requests_per_second: f64,
+    pub bytes_per_second: f64,
+    pub core_percent: Summary,
 }
 
 impl Row for ListRow {
@@ -53,72 +56,78 @@
             self.memory_granted_mb.to_string(),
             self.list_bytes.to_string(),
             format!("{:.0}", self.ready_ms),
-            format!("{:.1}", self.ready_used_ms),
+            format!("{:.1}", self.ready_processor_ms),
             format!("{:.1}", self.memory_mb),
             self.change_ms.cell(2),
-            format!("{:.3}", self.change_used_ms),
+            format!("{:.3}", self.change_processor_ms),
             format!("{:.0}", self.change_bytes),
-            format!("{:.2}", self.calls_a_second),
-            format!("{:.0}", self.bytes_a_second),
+            format!("{:.2}", self.requests_per_second),
+            format!("{:.0}", self.bytes_per_second),
             self.core_percent.cell(2),
         ]
     }
 }
 
-/// A router that knows no list at its start, of so many hosts; then so many changes of one host each.
+/// Starts a router without a known list, serves it a list of `hosts` hosts, then makes `changes` changes of
+/// one host each.
 pub fn measure(
     router: &Path,
     hosts: usize,
     memory_mb: usize,
     changes: usize,
-    windows: Windows,
+    windows: SamplingWindows,
 ) -> Result<ListRow, String> {
     let databases = Databases::start()?;
-    let agent = ListAgent::start(hosts, databases.port)?;
-    let grant = ResourceLimits { cores: AMPLE.cores, memory_mb, sockets: AMPLE.sockets };
-    let process = Process::start_with_configuration(router, &setup::configuration(&grant, agent.at, None))?;
-    let ready = ready::wait(&process, PATIENCE).map_err(|why| format!("{hosts} hosts: {why}"))?;
-    let ready_used_ms = process.processor_time_ms();
+    let list_service = ListService::start(hosts, databases.port)?;
+    let grant = ResourceLimits { cores: AMPLE_GRANT.cores, memory_mb, sockets: AMPLE_GRANT.sockets };
+    let process =
+        Process::start_with_configuration(router, &setup::configuration(&grant, list_service.address, None))?;
+    let ready_at =
+        ready::wait_until_ready(&process, TIMEOUT).map_err(|why| format!("{hosts} hosts: {why}"))?;
+    let ready_processor_ms = process.processor_time_ms();
     std::thread::sleep(Duration::from_millis(500));
 
-    let (used, served) = (process.processor_time_ms(), agent.served());
-    let taken = |change: usize| {
-        let told = Instant::now();
-        let version = agent.change(change * 7 % hosts);
-        let at = agent.taken(version, PATIENCE).ok_or(format!("change {change} was not taken"))?;
-        Ok(at.saturating_duration_since(told).as_secs_f64() * 1e3)
+    let (used_before_ms, traffic_before) = (process.processor_time_ms(), list_service.traffic());
+    let change_one = |change: usize| {
+        let changed_at = Instant::now();
+        let version = list_service.change_host(change * 7 % hosts);
+        let acknowledged_at = list_service
+            .wait_until_acknowledged(version, TIMEOUT)
+            .ok_or(format!("change {change} was not acknowledged"))?;
+        Ok(acknowledged_at.saturating_duration_since(changed_at).as_secs_f64() * 1e3)
     };
-    let change_ms: Vec<f64> = (0..changes).map(taken).collect::<Result<_, String>>()?;
+    let change_ms: Vec<f64> = (0..changes).map(change_one).collect::<Result<_, String>>()?;
     std::thread::sleep(Duration::from_millis(100));
-    let change_used_ms = (process.processor_time_ms() - used) / changes.max(1) as f64;
-    let change_bytes = (agent.served().bytes_out - served.bytes_out) as f64 / changes.max(1) as f64;
+    let change_processor_ms = (process.processor_time_ms() - used_before_ms) / changes.max(1) as f64;
+    let change_bytes =
+        (list_service.traffic().bytes_out - traffic_before.bytes_out) as f64 / changes.max(1) as f64;
 
-    let (served, began) = (agent.served(), Instant::now());
+    let (traffic_before, started_at) = (list_service.traffic(), Instant::now());
     let core_percent = measure::core_percent(&process, windows);
-    let (now, spent) = (agent.served(), began.elapsed().as_secs_f64());
-    let bytes = now.bytes_in + now.bytes_out - served.bytes_in - served.bytes_out;
+    let (traffic, elapsed_s) = (list_service.traffic(), started_at.elapsed().as_secs_f64());
+    let bytes = traffic.bytes_in + traffic.bytes_out - traffic_before.bytes_in - traffic_before.bytes_out;
     Ok(ListRow {
         hosts,
         memory_granted_mb: memory_mb,
-        list_bytes: agent.list_bytes(),
-        ready_ms: ready.duration_since(process.started_at()).as_secs_f64() * 1e3,
-        ready_used_ms,
+        list_bytes: list_service.list_bytes(),
+        ready_ms: ready_at.duration_since(process.started_at()).as_secs_f64() * 1e3,
+        ready_processor_ms,
         memory_mb: process.thread_count_and_memory_mb().1,
-        change_ms: Spread::of(&change_ms),
-        change_used_ms,
+        change_ms: Summary::of(&change_ms),
+        change_processor_ms,
         change_bytes,
-        calls_a_second: (now.calls - served.calls) as f64 / spent,
-        bytes_a_second: bytes as f64 / spent,
+        requests_per_second: (traffic.requests - traffic_before.requests) as f64 / elapsed_s,
+        bytes_per_second: bytes as f64 / elapsed_s,
         core_percent,
     })
 }
 
-/// What a router says of a list that is longer than its grant allows; an error where it takes it. A router
-/// that found the agent silent, as a machine that stands still makes it, says only that: then another is
-/// asked.
+/// Returns the reason that a router logs for rejecting a list longer than its grant allows; an error if it
+/// accepts the list. When the machine stalls, the router may report the list service as silent instead, and
+/// the attempt is repeated with a new router.
 pub fn refusal(router: &Path, hosts: usize, memory_mb: usize) -> Result<String, String> {
     let mut reason = first_failure(router, hosts, memory_mb)?;
-    for _ in 1..TRIES {
+    for _ in 1..MAX_ATTEMPTS {
         if !reason.contains("silent") {
             break;
         }
@@ -127,14 +136,16 @@
     Ok(reason)
 }
 
-/// What a router says first of a list that it did not get or take.
+/// Returns the reason of the first list failure that a router logs.
 fn first_failure(router: &Path, hosts: usize, memory_mb: usize) -> Result<String, String> {
     let databases = Databases::start()?;
-    let agent = ListAgent::start(hosts, databases.port)?;
-    let grant = ResourceLimits { cores: AMPLE.cores, memory_mb, sockets: AMPLE.sockets };
-    let process = Process::start_with_configuration(router, &setup::configuration(&grant, agent.at, None))?;
-    let line = process.log().wait_for_line("list failed", 0, PATIENCE);
-    let line = line.ok_or_else(|| format!("{hosts} hosts at {memory_mb} MB: nothing was refused"))?;
-    // The reason is the first field behind the message.
+    let list_service = ListService::start(hosts, databases.port)?;
+    let grant = ResourceLimits { cores: AMPLE_GRANT.cores, memory_mb, sockets: AMPLE_GRANT.sockets };
+    let process =
+        Process::start_with_configuration(router, &setup::configuration(&grant, list_service.address, None))?;
+    let line = process.log().wait_for_line("list failed", 0, TIMEOUT);
+    let line =
+        line.ok_or_else(|| format!("{hosts} hosts at {memory_mb} MB: the router did not reject the list"))?;
+    // The reason follows the message as its first field.
     Ok(line.text.split_once("list failed").map_or(line.text.clone(), |(_, why)| why.trim().to_string()))
 }
--- a/crates/lab/src/capacity/load.rs
+++ b/crates/lab/src/capacity/load.rs
@@ -1,5 +1,5 @@
-//! Reads at a steady rate over many groups: each thread has one client, draws its groups, and counts what
-//! came back.
+//! Reads at a steady rate over many groups. Each thread has one client, reads from random groups and counts
+//! the outcomes.
 
 use super::ready;
 use crate::client::{Answer, Client};
@@ -11,157 +11,166 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// What a client may wait for its answer, in ms.
-const WAIT_MS: u64 = 1_000;
-/// Reads a second that one client is asked for at the most.
-const A_CLIENT: f64 = 130.0;
-/// How long a client may take to open.
-const PATIENCE: Duration = Duration::from_secs(20);
-const STACK_BYTES: usize = 128 * 1024;
+/// The op timeout that each read states.
+const OP_TIMEOUT_MS: u64 = 1_000;
+const MAX_READS_PER_SECOND_PER_CLIENT: f64 = 130.0;
+/// Time for a client to connect, including retries.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
+const CLIENT_STACK_BYTES: usize = 128 * 1024;
 
-/// What is asked for.
+/// Parameters of a load.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
-    pub a_second: f64,
+pub struct LoadParameters {
+    pub reads_per_second: f64,
     pub groups: usize,
-    /// Clients that ask; each asks one at a time, so that few are held up where hosts don't answer.
+    /// Number of clients, each with one read outstanding at a time: with many clients, hosts that do not
+    /// answer hold up only few of them.
     pub clients: usize,
     pub seed: u64,
 }
 
-/// As many clients as a rate needs while answers come at once.
-pub fn clients_for(a_second: f64) -> usize {
-    (a_second / A_CLIENT).ceil().max(4.0) as usize
+/// The number of clients that a rate needs while reads are answered at once.
+pub fn clients_for_rate(reads_per_second: f64) -> usize {
+    (reads_per_second / MAX_READS_PER_SECOND_PER_CLIENT).ceil().max(4.0) as usize
 }
 
 #[derive(Default)]
-struct Counts {
+struct OutcomeCounters {
     acked: AtomicU64,
-    refused: AtomicU64,
+    busy: AtomicU64,
     errored: AtomicU64,
     unanswered: AtomicU64,
 }
 
-impl Counts {
-    fn now(&self) -> Answers {
-        Answers {
+impl OutcomeCounters {
+    fn snapshot(&self) -> OutcomeCounts {
+        OutcomeCounts {
             acked: self.acked.load(Relaxed),
-            refused: self.refused.load(Relaxed),
+            busy: self.busy.load(Relaxed),
             errored: self.errored.load(Relaxed),
             unanswered: self.unanswered.load(Relaxed),
         }
     }
 }
 
-/// Answers since the start: served, told to come back, told that it failed, or none within two seconds.
+/// Reads by outcome since the start: acked, busy-replied, errored, or unanswered (no answer within the
+/// client's timeout of two seconds, or a broken connection).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Answers {
+pub struct OutcomeCounts {
     pub acked: u64,
-    pub refused: u64,
+    pub busy: u64,
     pub errored: u64,
     pub unanswered: u64,
 }
 
-impl Answers {
-    /// Those that came after an earlier count.
-    pub fn since(self, before: Answers) -> Answers {
-        Answers {
+impl OutcomeCounts {
+    /// The outcomes since an earlier count.
+    pub fn since(self, before: OutcomeCounts) -> OutcomeCounts {
+        OutcomeCounts {
             acked: self.acked.saturating_sub(before.acked),
-            refused: self.refused.saturating_sub(before.refused),
+            busy: self.busy.saturating_sub(before.busy),
             errored: self.errored.saturating_sub(before.errored),
             unanswered: self.unanswered.saturating_sub(before.unanswered),
         }
     }
 
-    /// As a cell of a table.
+    /// Formats the counts as a table cell.
     pub fn cell(&self) -> String {
-        let Answers { acked, refused, errored, unanswered } = self;
-        format!("{acked} / {refused} / {errored} / {unanswered}")
+        let OutcomeCounts { acked, busy, errored, unanswered } = self;
+        format!("{acked} / {busy} / {errored} / {unanswered}")
     }
 }
 
+/// A running load.
 pub struct Load {
-    counts: Arc<Counts>,
-    over: Arc<AtomicBool>,
+    counters: Arc<OutcomeCounters>,
+    stop_requested: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    pub fn start(at: SocketAddr, rate: Rate) -> Result<Load, String> {
-        let clients = rate.clients.max(1);
-        let counts = Arc::new(Counts::default());
-        let over = Arc::new(AtomicBool::new(false));
+    /// Connects all clients to the router at `at` and starts reading.
+    pub fn start(at: SocketAddr, parameters: LoadParameters) -> Result<Load, String> {
+        let clients = parameters.clients.max(1);
+        let counters = Arc::new(OutcomeCounters::default());
+        let stop_requested = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
         for number in 0..clients {
-            let client = ready::open(at, PATIENCE).map_err(|e| format!("a client of the load: {e}"))?;
-            let asker = Asker {
+            let client = ready::connect(at, CONNECT_TIMEOUT)
+                .map_err(|e| format!("a load client could not connect: {e}"))?;
+            let load_client = LoadClient {
                 at,
                 client,
-                gap: Duration::from_secs_f64(clients as f64 / rate.a_second),
-                groups: rate.groups as u32,
-                chance: ChaCha8Rng::seed_from_u64(rate.seed.wrapping_mul(10_007).wrapping_add(number as u64)),
-                counts: counts.clone(),
-                over: over.clone(),
+                interval: Duration::from_secs_f64(clients as f64 / parameters.reads_per_second),
+                groups: parameters.groups as u32,
+                rng: ChaCha8Rng::seed_from_u64(
+                    parameters.seed.wrapping_mul(10_007).wrapping_add(number as u64),
+                ),
+                counters: counters.clone(),
+                stop_requested: stop_requested.clone(),
             };
-            let thread = std::thread::Builder::new().stack_size(STACK_BYTES).spawn(move || asker.run());
+            let thread =
+                std::thread::Builder::new().stack_size(CLIENT_STACK_BYTES).spawn(move || load_client.run());
             threads.push(thread.map_err(|e| e.to_string())?);
         }
-        Ok(Load { counts, over, threads })
+        Ok(Load { counters, stop_requested, threads })
     }
 
-    pub fn answers(&self) -> Answers {
-        self.counts.now()
+    pub fn outcomes(&self) -> OutcomeCounts {
+        self.counters.snapshot()
     }
 
-    /// Ends it and gives what was counted in all.
-    pub fn end(mut self) -> Answers {
-        self.over.store(true, Relaxed);
+    /// Stops the load and returns the total outcomes.
+    pub fn stop(mut self) -> OutcomeCounts {
+        self.stop_requested.store(true, Relaxed);
         let threads = std::mem::take(&mut self.threads);
         threads.into_iter().for_each(|thread| drop(thread.join()));
-        self.answers()
+        self.outcomes()
     }
 }
 
-struct Asker {
+struct LoadClient {
     at: SocketAddr,
     client: Client,
-    gap: Duration,
+    interval: Duration,
     groups: u32,
-    chance: ChaCha8Rng,
-    counts: Arc<Counts>,
-    over: Arc<AtomicBool>,
+    rng: ChaCha8Rng,
+    counters: Arc<OutcomeCounters>,
+    stop_requested: Arc<AtomicBool>,
 }
 
-impl Asker {
+impl LoadClient {
     fn run(mut self) {
-        let mut next = Instant::now() + self.gap.mul_f64(f64::from(self.chance.next_u32()) / 4_294_967_296.0);
+        let mut next_at =
+            Instant::now() + self.interval.mul_f64(f64::from(self.rng.next_u32()) / 4_294_967_296.0);
         let mut bounded = false;
-        while !self.over.load(Relaxed) {
-            std::thread::sleep(next.saturating_duration_since(Instant::now()));
-            next += self.gap;
-            let group = u64::from(self.chance.next_u32() % self.groups.max(1));
+        while !self.stop_requested.load(Relaxed) {
+            std::thread::sleep(next_at.saturating_duration_since(Instant::now()));
+            next_at += self.interval;
+            let group = u64::from(self.rng.next_u32() % self.groups.max(1));
             bounded = !bounded;
             let op_type = if bounded { "near" } else { "look" };
-            match self.client.read_with_op_type(op_type, group, WAIT_MS) {
-                Ok(Answer::Acked) => self.counts.acked.fetch_add(1, Relaxed),
-                Ok(Answer::Busy(_)) => self.counts.refused.fetch_add(1, Relaxed),
-                Ok(Answer::Errored) => self.counts.errored.fetch_add(1, Relaxed),
+            match self.client.read_with_op_type(op_type, group, OP_TIMEOUT_MS) {
+                Ok(Answer::Acked) => self.counters.acked.fetch_add(1, Relaxed),
+                Ok(Answer::Busy(_)) => self.counters.busy.fetch_add(1, Relaxed),
+                Ok(Answer::Errored) => self.counters.errored.fetch_add(1, Relaxed),
                 Err(_) => {
-                    self.open_anew();
-                    self.counts.unanswered.fetch_add(1, Relaxed)
+                    self.reconnect();
+                    self.counters.unanswered.fetch_add(1, Relaxed)
                 }
             };
         }
     }
 
-    /// What is left of an answer that came too late would be taken for the next one's.
-    fn open_anew(&mut self) {
-        while !self.over.load(Relaxed) {
+    /// Replaces the connection: the rest of a late answer would otherwise be read as the answer to the next
+    /// read.
+    fn reconnect(&mut self) {
+        while !self.stop_requested.load(Relaxed) {
             if let Ok(client) = Client::open(self.at) {
                 self.client = client;
                 return;
             }
-            std::thread::sleep(self.gap);
+            std::thread::sleep(self.interval);
         }
     }
 }
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,13 +1,13 @@
-//! `magpiewell-lab capacity`: what one router process costs by the sizes that a large tier has, each at
-//! several sizes, so that a slope tells what it is at others. Tables on standard output, as Markdown;
-//! `docs/CAPACITY.md` is made of them.
+//! `magpiewell-lab capacity`: measures what one router process costs as a tier grows. Each quantity is
+//! measured at several sizes and fitted with a line, which estimates it at other sizes. The tables go to
+//! standard output as Markdown; `docs/CAPACITY.md` is made of them.
 
 pub mod clients;
 pub mod configuration;
 pub mod databases;
 pub mod hosts;
 pub mod list;
-pub mod list_agent;
+pub mod list_service;
 pub mod load;
 pub mod measure;
 pub mod outage;
@@ -20,34 +20,34 @@
 
 use databases::Outage;
 use hosts::{Case, HostsRow, Phase};
-use measure::Windows;
-use setup::{AMPLE, CLIENTS_A_ROUTER, DATABASES, STATEMENTS_A_ROUTER};
+use measure::SamplingWindows;
+use setup::{AMPLE_GRANT, TARGET_CLIENTS_PER_ROUTER, TARGET_HOSTS, TARGET_STATEMENTS_PER_ROUTER};
 use std::path::Path;
 use std::time::Duration;
-use table::{growth, markdown};
+use table::{growth, markdown_table};
 
-/// One measured thing.
+/// One part of the measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Part {
     /// Database hosts in the list
     Hosts,
-    /// The same before a router whose grant binds
+    /// The target number of database hosts, with an ample and a usual grant
     Granted,
-    /// Zones of hosts that are lost or silent, and back
+    /// Zones whose hosts are lost or silent, and their return
     Outage,
     /// Idle client connections
     Clients,
-    /// Statements a second
+    /// Statements per second
     Statements,
-    /// The list of hosts: whole, one change, quiet
+    /// The host list: first full list, change of one host, watch without changes
     List,
-    /// A start with a list known from before
+    /// A start with a known list in the configuration
     Restart,
-    /// The configuration file read anew
+    /// A reload of the configuration file
     Configuration,
 }
 
-const ALL: [Part; 8] = [
+const ALL_PARTS: [Part; 8] = [
     Part::Hosts,
     Part::Granted,
     Part::Outage,
@@ -58,155 +58,169 @@
     Part::Configuration,
 ];
 
-const HOSTS: [usize; 5] = [100, 300, 1_000, 3_000, 7_000];
-const READS_A_SECOND: f64 = 200.0;
-const OUTAGE_HOSTS: [usize; 3] = [1_000, 3_000, 7_000];
-/// So many that the rate is kept up while a third of all reads wait their whole time.
+const HOST_COUNTS: [usize; 5] = [100, 300, 1_000, 3_000, 7_000];
+const READS_PER_SECOND: f64 = 200.0;
+const OUTAGE_HOST_COUNTS: [usize; 3] = [1_000, 3_000, 7_000];
+/// Enough clients to keep up the rate while a third of all reads wait until their timeout.
 const OUTAGE_CLIENTS: usize = 800;
 const OUTAGE_WARM_UP: Duration = Duration::from_secs(8);
-const CLIENTS: [usize; 5] = [0, 1_000, 3_000, 5_200, 10_000];
-const STATEMENTS: [f64; 3] = [500.0, 1_000.0, 2_062.0];
+const CLIENT_COUNTS: [usize; 5] = [0, 1_000, 3_000, 5_200, 10_000];
+const STATEMENT_RATES: [f64; 3] = [500.0, 1_000.0, 2_062.0];
 const STATEMENT_GROUPS: usize = 4;
-const LISTS: [usize; 4] = [100, 1_000, 3_000, 7_000];
-const CHANGES: usize = 40;
-const STARTS: usize = 5;
-/// A router's usual grant, and one so small that a list of so many hosts is too long for it.
-const USUAL_MB: usize = 192;
-const USUAL_SOCKETS: usize = 4_096;
-const LEAST_MB: usize = 32;
-const TOO_MANY: usize = 20_000;
+const LIST_SIZES: [usize; 4] = [100, 1_000, 3_000, 7_000];
+const LIST_CHANGES: usize = 40;
+const STARTS_PER_SIZE: usize = 5;
+/// A router's usual grant.
+const USUAL_GRANT_MB: usize = 192;
+const USUAL_GRANT_SOCKETS: usize = 4_096;
+/// A grant so small that a list of `OVERSIZED_LIST_HOSTS` hosts is too long for it.
+const SMALL_GRANT_MB: usize = 32;
+const OVERSIZED_LIST_HOSTS: usize = 20_000;
 
-const TIMES: hosts::Times = hosts::Times {
+const SCHEDULE: hosts::Schedule = hosts::Schedule {
     // Longer than the 22.5 s after which a router closes idle connections.
     warm_up: Duration::from_secs(26),
-    quiet: Windows { count: 3, seconds: 2.0 },
-    reads: Windows { count: 3, seconds: 4.0 },
+    quiet: SamplingWindows { count: 3, seconds: 2.0 },
+    reads: SamplingWindows { count: 3, seconds: 4.0 },
 };
 
-/// Measures this part, or all of them.
+/// Measures one part, or all of them with `None`, and prints the tables.
 pub fn run(router: &Path, part: Option<Part>, seed: u64) -> Result<bool, String> {
-    for part in ALL.into_iter().filter(|one| part.is_none_or(|part| part == *one)) {
+    for part in ALL_PARTS.into_iter().filter(|candidate| part.is_none_or(|part| part == *candidate)) {
         match part {
-            Part::Hosts => hosts_part(router, seed),
-            Part::Granted => granted_part(router, seed),
-            Part::Outage => outage_part(router, seed),
-            Part::Clients => clients_part(router),
-            Part::Statements => statements_part(router, seed),
-            Part::List => list_part(router),
-            Part::Restart => restart_part(router),
-            Part::Configuration => configuration_part(router),
+            Part::Hosts => measure_hosts(router, seed),
+            Part::Granted => measure_grants(router, seed),
+            Part::Outage => measure_outages(router, seed),
+            Part::Clients => measure_clients(router),
+            Part::Statements => measure_statements(router, seed),
+            Part::List => measure_lists(router),
+            Part::Restart => measure_restarts(router),
+            Part::Configuration => measure_configurations(router),
         }?;
     }
     Ok(true)
 }
 
-fn hosts_part(router: &Path, seed: u64) -> Result<(), String> {
+fn measure_hosts(router: &Path, seed: u64) -> Result<(), String> {
     let mut rows = Vec::new();
-    for hosts in HOSTS {
-        rows.extend(hosts::measure(router, Case::ample(hosts, READS_A_SECOND), TIMES, seed)?);
+    for hosts in HOST_COUNTS {
+        rows.extend(hosts::measure(router, Case::with_ample_grant(hosts, READS_PER_SECOND), SCHEDULE, seed)?);
     }
-    println!("## Hosts\n\n{}", markdown(&rows));
+    println!("## Hosts\n\n{}", markdown_table(&rows));
     for phase in [Phase::Quiet, Phase::Reads, Phase::Rest] {
-        let of: Vec<&HostsRow> = rows.iter().filter(|row| row.phase == phase).collect();
+        let chosen: Vec<&HostsRow> = rows.iter().filter(|row| row.phase == phase).collect();
         let hosts = |row: &&HostsRow| row.case.hosts as f64;
         let name = |what: &str| format!("{what}, {phase:?}");
-        println!("{}", growth(&name("memory"), "MB", &of, DATABASES, hosts, |r| r.seen.memory_mb));
-        println!("{}", growth(&name("a core"), "%", &of, DATABASES, hosts, |r| r.seen.core_percent.mean));
+        println!("{}", growth(&name("memory"), "MB", &chosen, TARGET_HOSTS, hosts, |r| r.sample.memory_mb));
         println!(
             "{}",
-            growth(&name("connections"), "", &of, DATABASES, hosts, |r| r.seen.connections as f64)
+            growth(&name("a core"), "%", &chosen, TARGET_HOSTS, hosts, |r| r.sample.core_percent.mean)
+        );
+        println!(
+            "{}",
+            growth(&name("connections"), "", &chosen, TARGET_HOSTS, hosts, |r| r.sample.connections as f64)
         );
     }
     Ok(())
 }
 
-/// All hosts of the target, at the target's rate, with an ample grant and with a usual one.
-fn granted_part(router: &Path, seed: u64) -> Result<(), String> {
-    let hosts = DATABASES as usize;
-    let ample = Case::ample(hosts, STATEMENTS_A_ROUTER);
-    let usual = Case { memory_mb: USUAL_MB, sockets: USUAL_SOCKETS, ..Case::ample(hosts, READS_A_SECOND) };
+/// The target number of hosts: at the target's rate with an ample grant, and at a low and the target's rate
+/// with a usual grant.
+fn measure_grants(router: &Path, seed: u64) -> Result<(), String> {
+    let hosts = TARGET_HOSTS as usize;
+    let ample = Case::with_ample_grant(hosts, TARGET_STATEMENTS_PER_ROUTER);
+    let usual = Case {
+        memory_mb: USUAL_GRANT_MB,
+        sockets: USUAL_GRANT_SOCKETS,
+        ..Case::with_ample_grant(hosts, READS_PER_SECOND)
+    };
     let mut rows = Vec::new();
-    for case in [ample, usual, Case { reads_a_second: STATEMENTS_A_ROUTER, ..usual }] {
-        rows.extend(hosts::measure(router, case, TIMES, seed)?);
+    for case in [ample, usual, Case { reads_per_second: TARGET_STATEMENTS_PER_ROUTER, ..usual }] {
+        rows.extend(hosts::measure(router, case, SCHEDULE, seed)?);
     }
-    println!("## The target's hosts, by rate and grant\n\n{}", markdown(&rows));
+    println!("## The target's hosts, by rate and grant\n\n{}", markdown_table(&rows));
     Ok(())
 }
 
-/// One zone of six lost; and two zones, a region, silent.
-fn outage_part(router: &Path, seed: u64) -> Result<(), String> {
-    let windows = Windows { count: 3, seconds: 3.0 };
+/// One zone of six is lost; then two zones, a region, are silent.
+fn measure_outages(router: &Path, seed: u64) -> Result<(), String> {
+    let windows = SamplingWindows { count: 3, seconds: 3.0 };
     let mut rows = Vec::new();
     for (outage, zones) in [(Outage::Lost, 1), (Outage::Silent, 2)] {
-        for hosts in OUTAGE_HOSTS {
-            let (reads_a_second, clients) = (STATEMENTS_A_ROUTER, OUTAGE_CLIENTS);
-            let case = outage::Case { hosts, reads_a_second, clients, outage, zones };
+        for hosts in OUTAGE_HOST_COUNTS {
+            let (reads_per_second, clients) = (TARGET_STATEMENTS_PER_ROUTER, OUTAGE_CLIENTS);
+            let case = outage::Case { hosts, reads_per_second, clients, outage, zones };
             rows.extend(outage::measure(router, case, OUTAGE_WARM_UP, windows, seed)?);
         }
     }
-    println!("## Zones lost, and back\n\n{}", markdown(&rows));
+    println!("## Zones lost, and back\n\n{}", markdown_table(&rows));
     Ok(())
 }
 
-fn clients_part(router: &Path) -> Result<(), String> {
-    let windows = Windows { count: 3, seconds: 2.0 };
-    let measured = CLIENTS.into_iter().map(|clients| clients::measure(router, clients, windows));
+fn measure_clients(router: &Path) -> Result<(), String> {
+    let windows = SamplingWindows { count: 3, seconds: 2.0 };
+    let measured = CLIENT_COUNTS.into_iter().map(|clients| clients::measure(router, clients, windows));
     let rows: Vec<clients::ClientsRow> = measured.collect::<Result<_, _>>()?;
-    println!("## Idle clients\n\n{}", markdown(&rows));
+    println!("## Idle clients\n\n{}", markdown_table(&rows));
     let clients = |row: &clients::ClientsRow| row.clients as f64;
-    println!("{}", growth("memory", "MB", &rows, CLIENTS_A_ROUTER, clients, |r| r.memory_mb));
-    println!("{}", growth("a core", "%", &rows, CLIENTS_A_ROUTER, clients, |r| r.core_percent.mean));
+    println!("{}", growth("memory", "MB", &rows, TARGET_CLIENTS_PER_ROUTER, clients, |r| r.memory_mb));
+    println!("{}", growth("a core", "%", &rows, TARGET_CLIENTS_PER_ROUTER, clients, |r| r.core_percent.mean));
     Ok(())
 }
 
-fn statements_part(router: &Path, seed: u64) -> Result<(), String> {
-    let windows = Windows { count: 3, seconds: 3.0 };
-    let one = |rate| statements::measure(router, STATEMENT_GROUPS, rate, windows, seed);
-    let rows: Vec<statements::StatementsRow> = STATEMENTS.into_iter().map(one).collect::<Result<_, _>>()?;
-    println!("## Statements\n\n{}", markdown(&rows));
-    let rate = |row: &statements::StatementsRow| row.seen.reads;
-    println!("{}", growth("a core", "%", &rows, STATEMENTS_A_ROUTER, rate, |r| r.seen.core_percent.mean));
+fn measure_statements(router: &Path, seed: u64) -> Result<(), String> {
+    let windows = SamplingWindows { count: 3, seconds: 3.0 };
+    let measure = |rate| statements::measure(router, STATEMENT_GROUPS, rate, windows, seed);
+    let rows: Vec<statements::StatementsRow> =
+        STATEMENT_RATES.into_iter().map(measure).collect::<Result<_, _>>()?;
+    println!("## Statements\n\n{}", markdown_table(&rows));
+    let rate = |row: &statements::StatementsRow| row.sample.reads_per_second;
+    println!(
+        "{}",
+        growth("a core", "%", &rows, TARGET_STATEMENTS_PER_ROUTER, rate, |r| r.sample.core_percent.mean)
+    );
     Ok(())
 }
 
-fn list_part(router: &Path) -> Result<(), String> {
-    let windows = Windows { count: 3, seconds: 4.0 };
-    let one = |hosts| list::measure(router, hosts, AMPLE.memory_mb, CHANGES, windows);
-    let mut rows: Vec<list::ListRow> = LISTS.into_iter().map(one).collect::<Result<_, _>>()?;
+fn measure_lists(router: &Path) -> Result<(), String> {
+    let windows = SamplingWindows { count: 3, seconds: 4.0 };
+    let measure = |hosts| list::measure(router, hosts, AMPLE_GRANT.memory_mb, LIST_CHANGES, windows);
+    let mut rows: Vec<list::ListRow> = LIST_SIZES.into_iter().map(measure).collect::<Result<_, _>>()?;
     let hosts = |row: &list::ListRow| row.hosts as f64;
-    let growths = [
-        growth("bytes of a list", "bytes", &rows, DATABASES, hosts, |r| r.list_bytes as f64),
-        growth("start to ready", "ms", &rows, DATABASES, hosts, |r| r.ready_ms),
-        growth("processor time until ready", "ms", &rows, DATABASES, hosts, |r| r.ready_used_ms),
-        growth("memory", "MB", &rows, DATABASES, hosts, |r| r.memory_mb),
-        growth("processor time of a change", "ms", &rows, DATABASES, hosts, |r| r.change_used_ms),
-        growth("a core, quiet", "%", &rows, DATABASES, hosts, |r| r.core_percent.mean),
+    let growth_lines = [
+        growth("bytes of a list", "bytes", &rows, TARGET_HOSTS, hosts, |r| r.list_bytes as f64),
+        growth("start to ready", "ms", &rows, TARGET_HOSTS, hosts, |r| r.ready_ms),
+        growth("processor time until ready", "ms", &rows, TARGET_HOSTS, hosts, |r| r.ready_processor_ms),
+        growth("memory", "MB", &rows, TARGET_HOSTS, hosts, |r| r.memory_mb),
+        growth("processor time of a change", "ms", &rows, TARGET_HOSTS, hosts, |r| r.change_processor_ms),
+        growth("a core, quiet", "%", &rows, TARGET_HOSTS, hosts, |r| r.core_percent.mean),
     ];
-    rows.push(list::measure(router, DATABASES as usize, USUAL_MB, CHANGES, windows)?);
-    println!("## The list of hosts\n\n{}", markdown(&rows));
-    growths.iter().for_each(|line| println!("{line}"));
-    let refusal = list::refusal(router, TOO_MANY, LEAST_MB)?;
-    println!("a list of {TOO_MANY} hosts at {LEAST_MB} MB is refused: {refusal}");
+    rows.push(list::measure(router, TARGET_HOSTS as usize, USUAL_GRANT_MB, LIST_CHANGES, windows)?);
+    println!("## The list of hosts\n\n{}", markdown_table(&rows));
+    growth_lines.iter().for_each(|line| println!("{line}"));
+    let refusal = list::refusal(router, OVERSIZED_LIST_HOSTS, SMALL_GRANT_MB)?;
+    println!("a list of {OVERSIZED_LIST_HOSTS} hosts at {SMALL_GRANT_MB} MB is refused: {refusal}");
     Ok(())
 }
 
-fn restart_part(router: &Path) -> Result<(), String> {
-    let one = |hosts| restart::measure(router, hosts, STARTS);
-    let rows: Vec<restart::RestartRow> = LISTS.into_iter().map(one).collect::<Result<_, _>>()?;
-    println!("## Starts\n\n{}", markdown(&rows));
+fn measure_restarts(router: &Path) -> Result<(), String> {
+    let measure = |hosts| restart::measure(router, hosts, STARTS_PER_SIZE);
+    let rows: Vec<restart::RestartRow> = LIST_SIZES.into_iter().map(measure).collect::<Result<_, _>>()?;
+    println!("## Starts\n\n{}", markdown_table(&rows));
     let hosts = |row: &restart::RestartRow| row.hosts as f64;
-    println!("{}", growth("start to ready", "ms", &rows, DATABASES, hosts, |r| r.ready_ms.mean));
-    println!("{}", growth("processor time", "ms", &rows, DATABASES, hosts, |r| r.used_ms.mean));
+    println!("{}", growth("start to ready", "ms", &rows, TARGET_HOSTS, hosts, |r| r.ready_ms.mean));
+    println!("{}", growth("processor time", "ms", &rows, TARGET_HOSTS, hosts, |r| r.processor_ms.mean));
     Ok(())
 }
 
-fn configuration_part(router: &Path) -> Result<(), String> {
-    // Processor time is told in steps of 10 ms: small files are read more often.
-    let one = |hosts: usize| configuration::measure(router, hosts, (100_000 / hosts).clamp(20, 200));
-    let rows: Vec<configuration::ConfigurationRow> = LISTS.into_iter().map(one).collect::<Result<_, _>>()?;
-    println!("## The configuration file read anew\n\n{}", markdown(&rows));
+fn measure_configurations(router: &Path) -> Result<(), String> {
+    // Processor time is reported in steps of 10 ms, so small files are reloaded more often.
+    let measure = |hosts: usize| configuration::measure(router, hosts, (100_000 / hosts).clamp(20, 200));
+    let rows: Vec<configuration::ConfigurationRow> =
+        LIST_SIZES.into_iter().map(measure).collect::<Result<_, _>>()?;
+    println!("## The configuration file read anew\n\n{}", markdown_table(&rows));
     let hosts = |row: &configuration::ConfigurationRow| row.hosts as f64;
-    println!("{}", growth("write to in force", "ms", &rows, DATABASES, hosts, |r| r.in_force_ms.mean));
-    println!("{}", growth("processor time", "ms", &rows, DATABASES, hosts, |r| r.used_ms));
+    println!("{}", growth("write to in force", "ms", &rows, TARGET_HOSTS, hosts, |r| r.in_effect_ms.mean));
+    println!("{}", growth("processor time", "ms", &rows, TARGET_HOSTS, hosts, |r| r.processor_ms));
     Ok(())
 }
--- a/crates/lab/src/capacity/outage.rs
+++ b/crates/lab/src/capacity/outage.rs
@@ -1,44 +1,49 @@
-//! What a router pays, and what its clients are told, while the hosts of some zones are lost or silent, and
-//! after they are back. Nothing is told to the router: the list goes on naming these hosts as ready.
+//! Measures a router's cost and its clients' outcomes while the hosts of some zones are lost or silent, and
+//! after they are back. The router is not informed of the outage: the list continues to show these hosts as
+//! ready.
 
 use super::databases::{Databases, Outage};
-use super::list_agent::ListAgent;
-use super::load::{Answers, Load, Rate};
-use super::measure::{self, Seen, Windows};
-use super::setup::{self, AMPLE};
+use super::list_service::ListService;
+use super::load::{Load, LoadParameters, OutcomeCounts};
+use super::measure::{self, Sample, SamplingWindows};
+use super::setup::{self, AMPLE_GRANT};
 use super::table::Row;
 use crate::process::Process;
 use std::path::Path;
 use std::time::Duration;
 
-const READY_PATIENCE: Duration = Duration::from_secs(60);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// When a row was measured, relative to the outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Moment {
     Before,
-    /// The first windows of the outage, and those that follow.
+    /// The first windows of the outage.
     Begins,
+    /// The windows after those.
     Lasts,
+    /// After the outage.
     Back,
 }
 
-/// One outage to measure.
+/// Parameters of one measurement: the hosts, the load and the outage.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub hosts: usize,
-    pub reads_a_second: f64,
+    pub reads_per_second: f64,
     pub outage: Outage,
     pub clients: usize,
-    /// The first so many zones fail.
+    /// Number of zones that fail, counted from the first.
     pub zones: usize,
 }
 
+/// One row: the sample of one moment.
 pub struct OutageRow {
     pub case: Case,
     pub moment: Moment,
-    pub seen: Seen,
-    /// Answers within the windows.
-    pub answers: Answers,
+    pub sample: Sample,
+    /// Outcomes within the windows of the sample.
+    pub outcomes: OutcomeCounts,
 }
 
 impl Row for OutageRow {
@@ -57,41 +62,43 @@
     ];
 
     fn cells(&self) -> Vec<String> {
-        let (seen, answers) = (&self.seen, &self.answers);
+        let (sample, outcomes) = (&self.sample, &self.outcomes);
         vec![
             self.case.hosts.to_string(),
             format!("{} {:?}", self.case.zones, self.case.outage),
             format!("{:?}", self.moment),
-            seen.core_percent.cell(2),
-            format!("{:.1}", seen.memory_mb),
-            seen.connections.to_string(),
-            format!("{:.1}", seen.opened),
-            format!("{:.1}", seen.reset),
-            format!("{:.1}", seen.probes),
-            format!("{:.1}", seen.reads),
-            answers.cell(),
+            sample.core_percent.cell(2),
+            format!("{:.1}", sample.memory_mb),
+            sample.connections.to_string(),
+            format!("{:.1}", sample.opened_per_second),
+            format!("{:.1}", sample.reset_per_second),
+            format!("{:.1}", sample.probes_per_second),
+            format!("{:.1}", sample.reads_per_second),
+            outcomes.cell(),
         ]
     }
 }
 
-/// Four rows: before, as it begins, as it lasts, and when the zones are back.
+/// Measures four rows: before the outage, as it begins, while it lasts, and when the zones are back.
 pub fn measure(
     router: &Path,
     case: Case,
     warm_up: Duration,
-    windows: Windows,
+    windows: SamplingWindows,
     seed: u64,
 ) -> Result<Vec<OutageRow>, String> {
     let databases = Databases::start()?;
-    let agent = ListAgent::start(case.hosts, databases.port)?;
-    let known = setup::whole_list(1, case.hosts, databases.port);
-    let process =
-        Process::start_with_configuration(router, &setup::configuration(&AMPLE, agent.at, Some(&known)))?;
-    let ready = process.log().wait_for_line("ready with the list", 0, READY_PATIENCE);
-    ready.ok_or_else(|| format!("{} hosts: the router did not get ready", case.hosts))?;
-    let (a_second, groups) = (case.reads_a_second, setup::groups(case.hosts));
-    let rate = Rate { a_second, groups, clients: case.clients, seed };
-    let load = Load::start(process.addr, rate)?;
+    let list_service = ListService::start(case.hosts, databases.port)?;
+    let known_list = setup::full_list(1, case.hosts, databases.port);
+    let process = Process::start_with_configuration(
+        router,
+        &setup::configuration(&AMPLE_GRANT, list_service.address, Some(&known_list)),
+    )?;
+    let ready = process.log().wait_for_line("ready with the list", 0, READY_TIMEOUT);
+    ready.ok_or_else(|| format!("{} hosts: the router did not become ready", case.hosts))?;
+    let (reads_per_second, groups) = (case.reads_per_second, setup::group_count(case.hosts));
+    let parameters = LoadParameters { reads_per_second, groups, clients: case.clients, seed };
+    let load = Load::start(process.addr, parameters)?;
     std::thread::sleep(warm_up);
 
     let zones: Vec<usize> = (0..case.zones.min(setup::ZONES)).collect();
@@ -104,11 +111,11 @@
     let mut rows = Vec::new();
     for (moment, outage) in moments {
         databases.set_outage(&zones, outage);
-        let before = load.answers();
-        let is_served = || load.answers().since(before).acked > 0;
-        let seen = measure::look_under_load(&process, &databases, windows, is_served);
-        rows.push(OutageRow { case, moment, seen, answers: load.answers().since(before) });
+        let outcomes_before = load.outcomes();
+        let is_served = || load.outcomes().since(outcomes_before).acked > 0;
+        let sample = measure::take_sample_under_load(&process, &databases, windows, is_served);
+        rows.push(OutageRow { case, moment, sample, outcomes: load.outcomes().since(outcomes_before) });
     }
-    load.end();
+    load.stop();
     Ok(rows)
 }
--- a/crates/lab/src/capacity/ready.rs
+++ b/crates/lab/src/capacity/ready.rs
@@ -1,36 +1,36 @@
-//! When a router lets a client in, and when it says that it is ready: it then answers an empty query. Asked
-//! again where the machine stood still for longer than a client waits.
+//! Connects to a router, and waits until it reports ready, which it does by answering an empty query without
+//! an error. Attempts are repeated, because the machine may stall for longer than a client's timeout.
 
 use crate::client::Client;
 use crate::process::Process;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How often a router is asked.
-const GAP: Duration = Duration::from_millis(2);
+/// Pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Opens a connection, again where there was no answer in time.
-pub fn open(at: SocketAddr, patience: Duration) -> Result<Client, String> {
-    let until = Instant::now() + patience;
+/// Connects a client, with retries until `timeout` is over.
+pub fn connect(at: SocketAddr, timeout: Duration) -> Result<Client, String> {
+    let deadline = Instant::now() + timeout;
     loop {
         match Client::open(at) {
-            Err(why) if Instant::now() >= until => return Err(why.to_string()),
-            Err(_) => std::thread::sleep(GAP),
+            Err(why) if Instant::now() >= deadline => return Err(why.to_string()),
+            Err(_) => std::thread::sleep(RETRY_INTERVAL),
             Ok(client) => return Ok(client),
         }
     }
 }
 
-/// Asks until the router is ready; tells when it was.
-pub fn wait(process: &Process, patience: Duration) -> Result<Instant, String> {
-    let until = Instant::now() + patience;
-    let mut client = open(process.addr, patience)?;
-    while Instant::now() < until {
+/// Waits until the router is ready and returns when that was.
+pub fn wait_until_ready(process: &Process, timeout: Duration) -> Result<Instant, String> {
+    let deadline = Instant::now() + timeout;
+    let mut client = connect(process.addr, timeout)?;
+    while Instant::now() < deadline {
         match client.is_ready() {
             Ok(true) => return Ok(Instant::now()),
-            Ok(false) => std::thread::sleep(GAP),
-            Err(_) => client = open(process.addr, patience)?,
+            Ok(false) => std::thread::sleep(RETRY_INTERVAL),
+            Err(_) => client = connect(process.addr, timeout)?,
         }
     }
-    Err("the router did not get ready".into())
+    Err("the router did not become ready".into())
 }
--- a/crates/lab/src/capacity/setup.rs
+++ b/crates/lab/src/capacity/setup.rs
@@ -1,26 +1,26 @@
-//! What a router under measurement is configured with, and the list of hosts in its own form.
+//! The configuration of the router under measurement, and the host list in the list service's format.
 
 use crate::process::ResourceLimits;
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// Hosts of a group; its first is the primary.
+/// Hosts per group; the first is the primary.
 pub const GROUP_SIZE: usize = 5;
-/// Zones that the hosts are spread over, so that a group has at most one in each.
+/// Number of zones. Hosts are spread over them so that a group has at most one host in each.
 pub const ZONES: usize = 6;
-/// The target that the figures are for.
-pub const ROUTERS: f64 = 4_800.0;
-pub const DATABASES: f64 = 7_000.0;
-pub const CLIENTS_A_ROUTER: f64 = 5_200.0;
-pub const STATEMENTS_A_ROUTER: f64 = 2_062.0;
+/// Sizes of the target tier that measurements are extrapolated to.
+pub const TARGET_ROUTERS: f64 = 4_800.0;
+pub const TARGET_HOSTS: f64 = 7_000.0;
+pub const TARGET_CLIENTS_PER_ROUTER: f64 = 5_200.0;
+pub const TARGET_STATEMENTS_PER_ROUTER: f64 = 2_062.0;
 
-/// The address of a host: one of its own for each, all at one port.
+/// The address of a host: an IP address of its own, and the port that all hosts share.
 pub fn host_address(host: usize, port: u16) -> SocketAddrV4 {
     let [_, high, middle, low] = ((host + 1) as u32).to_be_bytes();
     SocketAddrV4::new(Ipv4Addr::new(127, 80 + high, middle, low), port)
 }
 
-/// The host that an address is of.
+/// The host with this address; `None` for addresses below the range of the hosts.
 pub fn host_of(address: Ipv4Addr) -> Option<usize> {
     let [_, high, middle, low] = address.octets();
     let number = u32::from_be_bytes([0, high.checked_sub(80)?, middle, low]) as usize;
@@ -39,12 +39,12 @@
     host.is_multiple_of(GROUP_SIZE)
 }
 
-/// How many groups so many hosts are in.
-pub fn groups(hosts: usize) -> usize {
+/// The number of groups that `hosts` hosts form, at least 1.
+pub fn group_count(hosts: usize) -> usize {
     hosts.div_ceil(GROUP_SIZE).max(1)
 }
 
-/// One host as the list names it, with a weight that a change may raise.
+/// Appends the list entry of one host.
 fn write_host(text: &mut String, host: usize, port: u16, weight: f64) {
     let _ = write!(
         text,
@@ -56,11 +56,17 @@
     );
 }
 
-/// A page of the list.
-fn page(version: u64, full: bool, hosts: impl Iterator<Item = usize>, port: u16, weight: f64) -> String {
+/// A list response with these hosts, all of the same weight.
+fn list_response(
+    version: u64,
+    full: bool,
+    hosts: impl Iterator<Item = usize>,
+    port: u16,
+    weight: f64,
+) -> String {
     let mut text = format!("{{\"version\":{version},\"full\":{full},\"servers\":[");
-    for (place, host) in hosts.enumerate() {
-        if place > 0 {
+    for (index, host) in hosts.enumerate() {
+        if index > 0 {
             text.push(',');
         }
         write_host(&mut text, host, port, weight);
@@ -69,28 +75,29 @@
     text
 }
 
-/// The whole list.
-pub fn whole_list(version: u64, hosts: usize, port: u16) -> String {
-    page(version, true, 0..hosts, port, 1.0)
+/// The response with all hosts.
+pub fn full_list(version: u64, hosts: usize, port: u16) -> String {
+    list_response(version, true, 0..hosts, port, 1.0)
 }
 
-/// Nothing has changed.
-pub fn no_change(version: u64) -> String {
-    page(version, false, std::iter::empty(), 0, 1.0)
+/// The response when nothing has changed since `version`.
+pub fn unchanged_list(version: u64) -> String {
+    list_response(version, false, std::iter::empty(), 0, 1.0)
 }
 
-/// What has changed since the version before: one host.
-pub fn one_change(version: u64, host: usize, port: u16) -> String {
-    page(version, false, std::iter::once(host), port, 1.0 + (version % 2) as f64 / 10.0)
+/// The response when one host has changed since the previous version. Its weight is 1.0 or 1.1,
+/// alternating with the version.
+pub fn single_host_change(version: u64, host: usize, port: u16) -> String {
+    list_response(version, false, std::iter::once(host), port, 1.0 + (version % 2) as f64 / 10.0)
 }
 
-/// A router's configuration: any reads, and reads with a bound on how old their data may be.
-pub fn configuration(grant: &ResourceLimits, list_at: SocketAddr, known: Option<&str>) -> String {
+/// A router's configuration with two op types: `look` reads at any staleness, `near` at a bounded one.
+pub fn configuration(grant: &ResourceLimits, list_address: SocketAddr, known_list: Option<&str>) -> String {
     let ResourceLimits { cores, memory_mb, sockets } = grant;
-    let known = known.map(|list| format!("\"known\":{list},")).unwrap_or_default();
+    let known_field = known_list.map(|list| format!("\"known\":{list},")).unwrap_or_default();
     format!(
-        r#"{{"name":"lab","listen":"127.0.0.1:0","discovery":"{list_at}","seed":"1",
-        "limits":{{"cores":{cores},"memory_mb":{memory_mb},"sockets":{sockets}}},{known}
+        r#"{{"name":"lab","listen":"127.0.0.1:0","discovery":"{list_address}","seed":"1",
+        "limits":{{"cores":{cores},"memory_mb":{memory_mb},"sockets":{sockets}}},{known_field}
         "settings":{{"balancers":4800,"tick_s":0.005,"discovery":"automatic",
         "classes":[{{"name":"look","effect":"free","deadline_s":1,"goal_time_s":0.5,"value":1}},
         {{"name":"near","effect":"free","deadline_s":1,"goal_time_s":0.5,"value":1}}],
@@ -102,5 +109,5 @@
     )
 }
 
-/// A grant that binds nowhere: what is measured is the program, not its limits.
-pub const AMPLE: ResourceLimits = ResourceLimits { cores: 8.0, memory_mb: 8_192, sockets: 200_000 };
+/// A grant so large that no limit takes effect: measurements show the cost of the program, not its limits.
+pub const AMPLE_GRANT: ResourceLimits = ResourceLimits { cores: 8.0, memory_mb: 8_192, sockets: 200_000 };
--- a/crates/lab/src/capacity/statements.rs
+++ b/crates/lab/src/capacity/statements.rs
@@ -1,25 +1,26 @@
-//! What statements cost a router: reads at several rates over a few groups.
+//! Measures the cost of statements to a router: reads at several rates over a few groups.
 
 use super::databases::Databases;
-use super::list_agent::ListAgent;
-use super::load::{self, Answers, Load, Rate};
-use super::measure::{self, Seen, Windows};
-use super::setup::{self, AMPLE};
+use super::list_service::ListService;
+use super::load::{self, Load, LoadParameters, OutcomeCounts};
+use super::measure::{self, Sample, SamplingWindows};
+use super::setup::{self, AMPLE_GRANT};
 use super::table::Row;
 use crate::process::Process;
 use std::path::Path;
 use std::time::Duration;
 
+/// One row: the sample of one rate.
 pub struct StatementsRow {
-    pub asked_a_second: f64,
-    pub seen: Seen,
-    pub answers: Answers,
+    pub requested_per_second: f64,
+    pub sample: Sample,
+    pub outcomes: OutcomeCounts,
 }
 
 impl StatementsRow {
-    /// Processor time of one statement that reached a host, in ms.
-    pub fn statement_ms(&self) -> f64 {
-        10.0 * self.seen.core_percent.mean / self.seen.reads.max(1.0)
+    /// Processor time per statement that reached a host.
+    pub fn statement_processor_ms(&self) -> f64 {
+        10.0 * self.sample.core_percent.mean / self.sample.reads_per_second.max(1.0)
     }
 }
 
@@ -36,37 +37,41 @@
     ];
 
     fn cells(&self) -> Vec<String> {
-        let (seen, answers) = (&self.seen, &self.answers);
+        let (sample, outcomes) = (&self.sample, &self.outcomes);
         vec![
-            format!("{:.0}", self.asked_a_second),
-            format!("{:.0}", seen.reads),
-            seen.core_percent.cell(2),
-            format!("{:.4}", self.statement_ms()),
-            seen.connections.to_string(),
-            format!("{:.1}", seen.probes),
-            format!("{:.1}", seen.memory_mb),
-            answers.cell(),
+            format!("{:.0}", self.requested_per_second),
+            format!("{:.0}", sample.reads_per_second),
+            sample.core_percent.cell(2),
+            format!("{:.4}", self.statement_processor_ms()),
+            sample.connections.to_string(),
+            format!("{:.1}", sample.probes_per_second),
+            format!("{:.1}", sample.memory_mb),
+            outcomes.cell(),
         ]
     }
 }
 
+/// Measures reads at one rate; `groups` groups of hosts answer them.
 pub fn measure(
     router: &Path,
     groups: usize,
-    a_second: f64,
-    windows: Windows,
+    reads_per_second: f64,
+    windows: SamplingWindows,
     seed: u64,
 ) -> Result<StatementsRow, String> {
     let databases = Databases::start()?;
     let hosts = groups * setup::GROUP_SIZE;
-    let agent = ListAgent::start(hosts, databases.port)?;
-    let known = setup::whole_list(1, hosts, databases.port);
-    let process =
-        Process::start_with_configuration(router, &setup::configuration(&AMPLE, agent.at, Some(&known)))?;
-    let rate = Rate { a_second, groups, clients: load::clients_for(a_second), seed };
-    let load = Load::start(process.addr, rate)?;
+    let list_service = ListService::start(hosts, databases.port)?;
+    let known_list = setup::full_list(1, hosts, databases.port);
+    let process = Process::start_with_configuration(
+        router,
+        &setup::configuration(&AMPLE_GRANT, list_service.address, Some(&known_list)),
+    )?;
+    let parameters =
+        LoadParameters { reads_per_second, groups, clients: load::clients_for_rate(reads_per_second), seed };
+    let load = Load::start(process.addr, parameters)?;
     std::thread::sleep(Duration::from_secs(2));
-    let is_served = || load.answers().acked > 0;
-    let seen = measure::look_under_load(&process, &databases, windows, is_served);
-    Ok(StatementsRow { asked_a_second: a_second, seen, answers: load.end() })
+    let is_served = || load.outcomes().acked > 0;
+    let sample = measure::take_sample_under_load(&process, &databases, windows, is_served);
+    Ok(StatementsRow { requested_per_second: reads_per_second, sample, outcomes: load.stop() })
 }
--- a/crates/lab/src/capacity/table.rs
+++ b/crates/lab/src/capacity/table.rs
@@ -1,18 +1,18 @@
-//! Tables of measurements: typed rows, printed as Markdown, and the slopes of their columns.
+//! Tables of measurements, printed as Markdown, and the slopes of their columns.
 
 use super::slope::{self, Point};
 
-/// One line of a table.
+/// One row of a table.
 pub trait Row {
-    /// The names of the columns, with their units.
+    /// Column heads, with units.
     const COLUMNS: &'static [&'static str];
 
-    /// One text for each column.
+    /// The text of each column.
     fn cells(&self) -> Vec<String>;
 }
 
-/// The table as Markdown.
-pub fn markdown<R: Row>(rows: &[R]) -> String {
+/// Formats rows as a Markdown table.
+pub fn markdown_table<R: Row>(rows: &[R]) -> String {
     let line = |cells: Vec<String>| format!("| {} |\n", cells.join(" | "));
     let head = line(R::COLUMNS.iter().map(|name| name.to_string()).collect());
     let rule = line(R::COLUMNS.iter().map(|_| "---:".to_string()).collect());
@@ -20,8 +20,8 @@
     [head, rule, body].concat()
 }
 
-/// One line that tells how a column grows: its slope for each unit, what stands at zero, and what the line
-/// says of a target.
+/// Describes in one line of text how a column grows with the size: the slope per unit of size, and the values
+/// of the fitted line at zero and at `target`.
 pub fn growth<R>(
     name: &str,
     unit: &str,
@@ -35,9 +35,9 @@
         Ok(line) => format!(
             "slope of {name}: {:.6} {unit} for each, {:.4} at none, {:.4} at {target}; largest miss {:.0}%",
             line.per_unit,
-            line.at_zero,
-            line.at(target),
-            line.largest_miss * 100.0
+            line.value_at_zero,
+            line.value_at(target),
+            line.max_relative_residual * 100.0
         ),
         Err(why) => format!("slope of {name}: none ({why:?})"),
     }
