--- a/crates/lab/src/host.rs
+++ b/crates/lab/src/host.rs
@@ -1,4 +1,5 @@
-//! A stand-in db host on loopback: admits everybody and answers each statement at once, reads as a replica.
+//! A stand-in database host on loopback: it accepts every client and answers each statement at once, reads in
+//! the role of a replica, writes in that of a primary.
 
 use magpiewell_pg::{encode, frame};
 use std::io::{Read, Write};
@@ -8,52 +9,56 @@
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// A row with this value, and what stands beside it.
-fn served(value: &[u8], tag: &str, role: &str) -> Vec<u8> {
-    let described = [&1u16.to_be_bytes()[..], b"v\0", &[0; 18]].concat();
-    let data = [&1u16.to_be_bytes()[..], &(value.len() as u32).to_be_bytes(), value].concat();
-    let role = message(b'S', format!("server_role\0{role}\0").as_bytes());
-    let parts =
-        [message(b'T', &described), message(b'D', &data), message(b'C', format!("{tag}\0").as_bytes())];
-    [parts.concat(), role, encode::READY_FOR_QUERY.to_vec()].concat()
+/// A whole response: one row with this value, the command tag, and the role that the host reports.
+fn response(value: &[u8], tag: &str, role: &str) -> Vec<u8> {
+    let row_description = [&1u16.to_be_bytes()[..], b"v\0", &[0; 18]].concat();
+    let data_row = [&1u16.to_be_bytes()[..], &(value.len() as u32).to_be_bytes(), value].concat();
+    let role_status = message(b'S', format!("server_role\0{role}\0").as_bytes());
+    let parts = [
+        message(b'T', &row_description),
+        message(b'D', &data_row),
+        message(b'C', format!("{tag}\0").as_bytes()),
+    ];
+    [parts.concat(), role_status, encode::READY_FOR_QUERY.to_vec()].concat()
 }
 
-/// Listens on a free port until the process ends.
+/// Starts a host on a free port and returns its address; it runs until the process ends.
 pub fn start() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let at = listener.local_addr()?;
+    let addr = listener.local_addr()?;
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let serve = move || drop(serve(stream));
             drop(std::thread::Builder::new().stack_size(128 * 1024).spawn(serve));
         }
     });
-    Ok(at)
+    Ok(addr)
 }
 
 fn serve(mut stream: TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    let (mut buf, mut chunk, mut opened) = (Vec::new(), [0; 4096], false);
-    let (read, write) = (served(b"\\x9f", "SELECT 1", "reader"), served(b"\\x9f", "INSERT 0 1", "writer"));
+    let (mut buf, mut chunk, mut is_started) = (Vec::new(), [0; 4096], false);
+    let (read_response, write_response) =
+        (response(b"\\x9f", "SELECT 1", "reader"), response(b"\\x9f", "INSERT 0 1", "writer"));
     loop {
         let n = stream.read(&mut chunk)?;
         if n == 0 {
             return Ok(());
         }
         buf.extend_from_slice(&chunk[..n]);
-        let bad = |_| std::io::Error::from(std::io::ErrorKind::InvalidData);
-        if !opened {
-            let Some((_, body)) = frame::startup(&buf, 10_000).map_err(bad)? else { continue };
+        let invalid_data = |_| std::io::Error::from(std::io::ErrorKind::InvalidData);
+        if !is_started {
+            let Some((_, body)) = frame::startup(&buf, 10_000).map_err(invalid_data)? else { continue };
             buf.drain(..body.end);
-            let mut admits = Vec::new();
-            encode::startup_reply(&mut admits);
-            stream.write_all(&admits)?;
-            opened = true;
+            let mut reply = Vec::new();
+            encode::startup_reply(&mut reply);
+            stream.write_all(&reply)?;
+            is_started = true;
         }
-        while let Some((_, body)) = frame::message(&buf, 1 << 20).map_err(bad)? {
-            let writes = buf[body.clone()].starts_with(b"INSERT");
+        while let Some((_, body)) = frame::message(&buf, 1 << 20).map_err(invalid_data)? {
+            let is_write = buf[body.clone()].starts_with(b"INSERT");
             buf.drain(..body.end);
-            stream.write_all(if writes { &write } else { &read })?;
+            stream.write_all(if is_write { &write_response } else { &read_response })?;
         }
     }
 }
--- a/crates/lab/src/log.rs
+++ b/crates/lab/src/log.rs
@@ -1,11 +1,12 @@
-//! The log of a process under measurement: its lines as they come, each with the time at which it came.
+//! The log lines of a process under measurement, each with the time at which it was received.
 
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Lines kept; a process that logs more loses the later ones here.
-const MOST_LINES: usize = 20_000;
+/// Number of lines that are kept; later ones are dropped.
+const MAX_LINES: usize = 20_000;
 
+/// A log line.
 #[derive(Clone, Debug)]
 pub struct Line {
     pub received_at: Instant,
@@ -13,55 +14,57 @@
 }
 
 #[derive(Default)]
-struct Lines {
+struct State {
     lines: Vec<Line>,
-    ended: bool,
+    is_closed: bool,
 }
 
+/// A log that one thread fills while others wait for lines in it.
 #[derive(Default)]
 pub struct Log {
-    present: Mutex<Lines>,
-    came: Condvar,
+    state: Mutex<State>,
+    changed: Condvar,
 }
 
 impl Log {
-    fn present(&self) -> MutexGuard<'_, Lines> {
-        self.present.lock().unwrap_or_else(|broken| broken.into_inner())
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
+    /// Appends a line, received now.
     pub fn push(&self, text: String) {
-        let mut present = self.present();
-        if present.lines.len() < MOST_LINES {
-            present.lines.push(Line { received_at: Instant::now(), text });
+        let mut state = self.lock();
+        if state.lines.len() < MAX_LINES {
+            state.lines.push(Line { received_at: Instant::now(), text });
         }
-        self.came.notify_all();
+        self.changed.notify_all();
     }
 
-    /// No line will come any more.
-    pub fn end(&self) {
-        self.present().ended = true;
-        self.came.notify_all();
+    /// Closes the log: no more lines will be appended.
+    pub fn close(&self) {
+        self.lock().is_closed = true;
+        self.changed.notify_all();
     }
 
-    /// How many lines have come.
+    /// Number of lines received so far.
     pub fn line_count(&self) -> usize {
-        self.present().lines.len()
+        self.lock().lines.len()
     }
 
-    /// The first line from number `from` on that contains this, waited for; none where none came in time, or
-    /// the log has ended.
-    pub fn wait_for_line(&self, part: &str, from: usize, patience: Duration) -> Option<Line> {
-        let until = Instant::now() + patience;
-        let mut present = self.present();
+    /// Waits for a line that contains `text`, from line number `from` on, and returns the first one; `None`
+    /// if there is none within `timeout` or when the log is closed.
+    pub fn wait_for_line(&self, text: &str, from: usize, timeout: Duration) -> Option<Line> {
+        let deadline = Instant::now() + timeout;
+        let mut state = self.lock();
         loop {
-            let found = present.lines.iter().skip(from).find(|line| line.text.contains(part)).cloned();
-            let left = until.saturating_duration_since(Instant::now());
-            if found.is_some() || present.ended || left.is_zero() {
+            let found = state.lines.iter().skip(from).find(|line| line.text.contains(text)).cloned();
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if found.is_some() || state.is_closed || remaining.is_zero() {
                 return found;
             }
-            present = match self.came.wait_timeout(present, left) {
-                Ok((present, _)) => present,
-                Err(broken) => broken.into_inner().0,
+            state = match self.changed.wait_timeout(state, remaining) {
+                Ok((state, _)) => state,
+                Err(poisoned) => poisoned.into_inner().0,
             };
         }
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -171,7 +171,7 @@
 
 fn main() -> ExitCode {
     let done = match Command::parse().what {
-        What::Demo { router } => demo::show(&router),
+        What::Demo { router } => demo::run(&router),
         What::Limit { router, seed, idle, untold, overload, costs } => {
             limit::prove(&router, seed, idle, untold, overload, costs)
         }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,4 +1,5 @@
-//! A router process under measurement: started with a file of its own, looked at from outside, ended with its owner.
+//! A router process under measurement: started with a configuration file of its own, measured through
+//! `/proc`, and killed when it is dropped.
 
 use crate::log::Log;
 use nix::sys::signal::{Signal, kill};
@@ -11,20 +12,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a start may take until the process listens.
-const START_PATIENCE: Duration = Duration::from_secs(30);
-/// The unit of times in `/proc/PID/stat`: the same on all Linux machines of today.
-const TICKS_A_SECOND: f64 = 100.0;
+/// How long a process may take from its start until it listens.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// The unit of times in `/proc/PID/stat`; the same on all current Linux platforms.
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
+/// A running router process, which is killed when this is dropped.
 pub struct Process {
     child: Child,
-    file: PathBuf,
+    configuration_path: PathBuf,
     log: Arc<Log>,
-    started: Instant,
+    started_at: Instant,
+    /// The address at which the router accepts clients.
     pub addr: SocketAddr,
 }
 
-/// What a router is given.
+/// The resource limits in a router's configuration.
 pub struct ResourceLimits {
     pub cores: f64,
     pub memory_mb: usize,
@@ -32,10 +35,10 @@
 }
 
 impl Process {
-    /// Starts a router before one host, and waits until it listens.
-    pub fn start(program: &Path, host: SocketAddr, grant: &ResourceLimits) -> Result<Process, String> {
-        let ResourceLimits { cores, memory_mb, sockets } = grant;
-        let text = format!(
+    /// Starts a router whose list has one host, in group 3, and waits until it listens.
+    pub fn start(program: &Path, host: SocketAddr, limits: &ResourceLimits) -> Result<Process, String> {
+        let ResourceLimits { cores, memory_mb, sockets } = limits;
+        let configuration = format!(
             r#"{{"name":"lab","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
             "limits":{{"cores":{cores},"memory_mb":{memory_mb},"sockets":{sockets}}},
             "known":{{"version":1,"full":true,"servers":[{{"id":"h-1","addr":"{host}","cell":3,"state":"Ready",
@@ -46,53 +49,58 @@
             "limits":{{"max_attempts":2,"may_cancel":true,"retry_after":true,"max_retry_after_s":2}},
             "rules":{{"cold_from":0.2,"cold_s":10,"drain_grace_s":0.5,"fall_multiple":2.5,"fall_s":2}}}}}}"#
         );
-        Process::start_with_configuration(program, &text)
+        Process::start_with_configuration(program, &configuration)
     }
 
     /// Starts a router with this configuration, and waits until it listens.
     pub fn start_with_configuration(program: &Path, configuration: &str) -> Result<Process, String> {
-        static COUNT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
-        let count = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let file = std::env::temp_dir().join(format!("magpiewell-lab-{}-{count}.json", std::process::id()));
-        std::fs::write(&file, configuration).map_err(|e| format!("{}: {e}", file.display()))?;
+        static NEXT_FILE: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
+        let number = NEXT_FILE.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        let path = std::env::temp_dir().join(format!("magpiewell-lab-{}-{number}.json", std::process::id()));
+        std::fs::write(&path, configuration).map_err(|e| format!("{}: {e}", path.display()))?;
         let mut command = Command::new(program);
-        let command = command.env("BALANCER_CONFIG", &file).stderr(Stdio::piped());
-        let started = Instant::now();
-        let spawned = on_one_core(|| command.spawn());
+        let command = command.env("BALANCER_CONFIG", &path).stderr(Stdio::piped());
+        let started_at = Instant::now();
+        let spawned = on_last_core(|| command.spawn());
         let mut child = spawned.map_err(|e| format!("{}: {e}", program.display()))?;
         let log = Arc::new(Log::default());
-        let lines = BufReader::new(child.stderr.take().expect("was asked for")).lines();
-        let kept = log.clone();
-        // Read on, or the router would wait for room to write.
+        let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
+        let received = log.clone();
+        // The log is read to its end even if nobody waits for lines: on a full pipe the router would block.
         std::thread::spawn(move || {
-            lines.map_while(Result::ok).for_each(|line| kept.push(line));
-            kept.end();
+            lines.map_while(Result::ok).for_each(|line| received.push(line));
+            received.close();
         });
         let unbound = SocketAddr::from(([0, 0, 0, 0], 0));
-        let mut process = Process { child, file, log, started, addr: unbound };
-        process.addr = process.listens()?;
+        let mut process = Process { child, configuration_path: path, log, started_at, addr: unbound };
+        process.addr = process.wait_for_listen_addr()?;
         Ok(process)
     }
 
-    /// The address that the log names.
-    fn listens(&self) -> Result<SocketAddr, String> {
-        let line = self.log.wait_for_line("listen=", 0, START_PATIENCE).ok_or("the router did not start")?;
-        let address = line.text.split("listen=").nth(1).and_then(|rest| rest.split(' ').next());
-        address.and_then(|a| a.parse().ok()).ok_or_else(|| format!("no address in: {}", line.text))
+    /// Waits for the log line with the address at which the process listens.
+    fn wait_for_listen_addr(&self) -> Result<SocketAddr, String> {
+        let line = self
+            .log
+            .wait_for_line("listen=", 0, START_TIMEOUT)
+            .ok_or("the router exited or did not log its listen address in time")?;
+        let addr = line.text.split("listen=").nth(1).and_then(|rest| rest.split(' ').next());
+        addr.and_then(|text| text.parse().ok())
+            .ok_or_else(|| format!("no listen address in log line: {}", line.text))
     }
 
+    /// What the process has logged.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// When the program was started.
     pub fn started_at(&self) -> Instant {
-        self.started
+        self.started_at
     }
 
-    /// Replaces the configuration file and asks the process to read it anew.
+    /// Replaces the configuration file and makes the process reload it.
     pub fn reload(&self, configuration: &str) -> Result<(), String> {
-        std::fs::write(&self.file, configuration).map_err(|e| format!("{}: {e}", self.file.display()))?;
+        std::fs::write(&self.configuration_path, configuration)
+            .map_err(|e| format!("{}: {e}", self.configuration_path.display()))?;
         kill(Pid::from_raw(self.pid() as i32), Signal::SIGHUP).map_err(|e| e.to_string())
     }
 
@@ -100,12 +108,12 @@
         self.child.id()
     }
 
-    /// Processor time used so far, in ms.
+    /// Processor time used so far by all threads that still run, in ms.
     pub fn processor_time_ms(&self) -> f64 {
         processor_time_ms(self.pid())
     }
 
-    /// Threads, and resident memory in MB.
+    /// Number of threads, and resident memory in MB.
     pub fn thread_count_and_memory_mb(&self) -> (usize, f64) {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).unwrap_or_default();
         let value = |key: &str| {
@@ -116,49 +124,48 @@
     }
 }
 
-/// Runs this with the calling thread on the last core it may use, which a process started there inherits: a router
-/// has one core, and threads that could run at once would hide what waking them costs.
-fn on_one_core<T>(work: impl FnOnce() -> T) -> T {
-    let all = sched_getaffinity(None);
-    if let Ok(all) = &all
-        && let Some(last) = (0..CpuSet::MAX_CPU).rev().find(|cpu| all.is_set(*cpu))
+/// Runs `work` with the calling thread pinned to the last core that it may use; a process started by `work`
+/// inherits this. A router has one core: threads that ran in parallel would hide the cost of waking them.
+fn on_last_core<T>(work: impl FnOnce() -> T) -> T {
+    let allowed = sched_getaffinity(None);
+    if let Ok(allowed) = &allowed
+        && let Some(last) = (0..CpuSet::MAX_CPU).rev().find(|cpu| allowed.is_set(*cpu))
     {
-        let mut one = CpuSet::new();
-        one.set(last);
-        let _ = sched_setaffinity(None, &one);
+        let mut last_only = CpuSet::new();
+        last_only.set(last);
+        let _ = sched_setaffinity(None, &last_only);
     }
-    let done = work();
-    if let Ok(all) = &all {
-        let _ = sched_setaffinity(None, all);
+    let result = work();
+    if let Ok(allowed) = &allowed {
+        let _ = sched_setaffinity(None, allowed);
     }
-    done
+    result
 }
 
-/// Processor time of a whole process, in ms, threads that have ended included; in steps of a clock tick (10
-/// ms).
+/// Processor time of a process in ms, including threads that have ended, with a resolution of one clock tick
+/// (10 ms).
 pub fn processor_time_ms_with_ended_threads(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The program's name stands in brackets and may hold blanks; user and system time are the 14th and 15th
-    // field.
-    let fields = text.rsplit_once(')').map_or("", |(_, behind)| behind);
+    // The program's name is in parentheses and may contain spaces; user and system time are fields 14 and 15.
+    let fields = text.rsplit_once(')').map_or("", |(_, rest)| rest);
     let ticks: f64 = fields.split_whitespace().skip(11).take(2).filter_map(|v| v.parse::<f64>().ok()).sum();
-    ticks * 1_000.0 / TICKS_A_SECOND
+    ticks * 1_000.0 / CLOCK_TICKS_PER_SECOND
 }
 
-/// Processor time of all threads of a process, in ms.
+/// Processor time of all threads of a process that still run, in ms.
 pub fn processor_time_ms(pid: u32) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
-    let of = |task: std::fs::DirEntry| {
+    let used_ns = |task: std::fs::DirEntry| {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
         text.split(' ').next()?.parse::<f64>().ok()
     };
-    tasks.filter_map(of).sum::<f64>() / 1e6
+    tasks.filter_map(used_ns).sum::<f64>() / 1e6
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
-        drop(std::fs::remove_file(&self.file));
+        drop(std::fs::remove_file(&self.configuration_path));
     }
 }
