--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -15,7 +15,6 @@
 const OWN_DESCRIPTORS: usize = 16;
 
 /// The limits. Their names are logged at start.
-
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Processor time granted, in cores; the interval at which its use is measured, and the processor time
