--- a/src/lib.rs
+++ b/src/lib.rs
@@ -46,12 +46,13 @@
     pub retryability: Retryability,
     pub staleness_bound_ms: f64,
     pub latency_target_ms: f64,
+    /// What an answer within the latency target is worth, relative to other op types.
     pub value: f64,
-    /// Share of the value that an answer after the latency target still earns.
+    /// Share of the value that an answer after the latency target still has.
     pub late_value: f64,
 }
 
-/// What a deployment permits, requires and charges for. The policy derives its parameters from it at start.
+/// What a deployment permits, requires and charges for. The policy derives its parameters from it at startup.
 #[derive(Clone, Debug)]
 pub struct PolicyOptions {
     /// Number of routers that share the hosts.
@@ -66,6 +67,7 @@
     pub tenant_rates: Vec<f64>,
     /// Factor on the value of an op beyond its tenant's share.
     pub over_share_value: f64,
+    /// Sends per op.
     pub max_sends: usize,
     /// Whether a retryable op may have a second send outstanding.
     pub may_hedge: bool,
@@ -76,12 +78,13 @@
     pub probe_price: f64,
     pub connection_price: f64,
     pub cross_zone_price: f64,
-    /// Longest wait that a busy reply may name; 0 where clients are given no time.
+    /// Longest wait that a busy reply may name; 0 where busy replies name none.
     pub max_retry_after_ms: f64,
+    /// Time for which a host that the list names as draining or gone may still be sent ops.
     pub drain_grace_ms: f64,
     /// False where a host listed as gone without having drained may still be sent ops.
     pub gone_is_binding: bool,
-    /// How often the host list must be requested; `None` where the list service pushes changes.
+    /// Longest interval between requests of the host list; `None` where the list service pushes changes.
     pub list_poll_interval_ms: Option<f64>,
     /// Smallest share of its full capacity that a host has right after its start.
     pub cold_capacity_share: f64,
@@ -149,37 +152,40 @@
 /// How a send or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
+    /// The host ran the op and acknowledged it.
     Acked,
+    /// The host answered with an error. The op may have run.
     Errored,
-    /// The response can't be parsed. The op may have run, and the response says nothing about the host's
-    /// role.
+    /// The response is malformed. The op may have run, and the response says nothing about the host's role.
     Spoilt,
-    /// The host refused the op without looking at it: it is full or draining.
+    /// The host rejected the op without running it, as it has reached a limit or is draining.
     Full,
+    /// No response arrived in time. The op may have run.
     TimedOut,
-    /// No connection was established.
+    /// The host received no complete op: the connection could not be opened or did not accept all of it.
     Unreached,
-    /// The connection broke.
+    /// The connection broke before the response was complete. The op may have run.
     Reset,
+    /// The policy withdrew the send. The op may have run.
     Withdrawn,
-    /// Never left the router.
+    /// Nothing of the op was written to a connection, which says nothing about the host.
     Unsent,
-    /// The host rejected the op without running it: it isn't the primary, or is too far behind.
+    /// The host rejected the op without running it, as it isn't the primary or is too far behind.
     Missed,
 }
 
 impl Ending {
-    /// True where the ending proves that the op did not run.
+    /// True if the ending proves that the op did not run.
     pub fn cannot_have_run(self) -> bool {
         matches!(self, Ending::Full | Ending::Unreached | Ending::Unsent | Ending::Missed)
     }
 
-    /// True where the host could not be reached or did not respond.
+    /// True if the host could not be reached or did not respond.
     pub fn is_contact_failure(self) -> bool {
         matches!(self, Ending::TimedOut | Ending::Unreached | Ending::Reset)
     }
 
-    /// True where the host itself responded.
+    /// True if the host itself responded.
     pub fn is_from_host(self) -> bool {
         matches!(self, Ending::Acked | Ending::Errored | Ending::Spoilt | Ending::Full | Ending::Missed)
     }
@@ -198,27 +204,27 @@
 
 /// Receives the policy's actions, which take effect in the order given.
 pub trait Outbox {
-    /// Sends the op; the sends of an op are numbered from 0 in this order. A send that has not started to
-    /// leave by `begin_by` must not leave at all, and ends as unsent.
+    /// Sends the op; the sends of an op are numbered from 0 in this order. If writing it has not begun by
+    /// `begin_by`, the send must not be written at all and ends as [`Ending::Unsent`].
     fn send(&mut self, op: OpId, host: usize, begin_by: f64);
-    /// Withdraws a send: if it has not left completely, it never does. With `abort`, one that has left is
-    /// broken off too; without, it continues.
+    /// Withdraws a send. If it is not completely written, it never will be. One that is completely written is
+    /// aborted if `abort` is true and continues otherwise.
     fn withdraw(&mut self, op: OpId, send: usize, abort: bool);
-    /// Cancels the sends to this host that have not started to leave; they end as unsent.
+    /// Cancels the sends to this host of which nothing is written; they end as [`Ending::Unsent`].
     fn cancel_unstarted(&mut self, _host: usize) {}
-    /// A final answer that promises that a retry is harmless. `retry_ms` is the time after which to retry; 0
-    /// names none.
-    fn busy_reply(&mut self, op: OpId, retry_ms: f64);
-    /// A final answer that promises nothing.
+    /// Gives the op its final answer, which promises that a retry is harmless. `retry_after_ms` is the time
+    /// after which the client should retry; 0 names none.
+    fn busy_reply(&mut self, op: OpId, retry_after_ms: f64);
+    /// Gives the op its final answer, which does not tell whether the op has run.
     fn error_reply(&mut self, op: OpId);
     fn probe(&mut self, host: usize);
     /// Closes this router's idle connections to the host.
     fn close_idle_connections(&mut self, host: usize);
     /// Requests the changes of the host list since the last response, and a watch for further ones.
     fn watch_host_list(&mut self);
-    /// Requests one call of [`policy::Policy::tick`] after this many milliseconds.
-    fn wake_after(&mut self, in_ms: f64);
+    /// Requests one call of [`policy::Policy::tick`] after this time.
+    fn wake_after(&mut self, delay_ms: f64);
     fn log(&mut self, line: &str);
-    /// Contact with the host was lost; peers may want to know.
+    /// Contact with the host was lost. The adapter may report that to the other routers.
     fn contact_lost(&mut self, _host: usize) {}
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -65,24 +65,25 @@
 const TRIAL_SMOOTHING: f64 = 0.35;
 /// Reads from which a latency average is used.
 const MIN_LATENCY_SAMPLES: u32 = 20;
-/// Shortest interval between probes of a host; a host is probed only when an op needs the result.
+/// Shortest usual interval between probes of a host; a host is probed only when an op needs the result or a
+/// peer reports it as unresponsive.
 const PROBE_INTERVAL_MS: f64 = 250.0;
-/// Number of hosts that one read has probed where none is known to be fresh enough. Where connections are
-/// charged for, also the number of replicas of a group that have connections before others get any.
+/// Number of hosts probed for one read where none is known to be fresh enough. Where connections are charged
+/// for, also the number of replicas per group that get connections before any others do.
 const HOST_SUBSET_SIZE: usize = 2;
-/// The usual latency of an op type starts as this share of its target and is learned with this smoothing
-/// factor.
+/// Initial usual latency of an op type as a share of its latency target, and the smoothing factor with which
+/// the usual latency is learned.
 const INITIAL_LATENCY_SHARE: f64 = 0.2;
 const USUAL_LATENCY_SMOOTHING: f64 = 0.02;
 /// A send that exceeds this multiple of its usual latency counts as lost if its host has responded to others
 /// since.
 const LOST_SEND_FACTOR: f64 = 4.0;
-/// Initial in-flight limit of a host, over all routers, and the floor of a limit for more than one op in
-/// flight.
+/// Initial in-flight limit of a host, divided among all routers.
 const INITIAL_LIMIT: f64 = 16.0;
+/// Floor of an in-flight limit. A lower value is the share of ops admitted to an idle host.
 const MIN_LIMIT: f64 = 1.0;
-/// Average latency above this share of the latency target is congestion (above 1) and cuts the in-flight
-/// limit. After a cut, the congestion average restarts at `CONGESTION_AFTER_CUT`.
+/// A host's congestion is the average of its latency over this share of the latency target. Congestion above
+/// 1 multiplies the in-flight limit by `LIMIT_CUT`, and then restarts at `CONGESTION_AFTER_CUT`.
 const CONGESTED_TARGET_SHARE: f64 = 0.33;
 const CONGESTION_AFTER_CUT: f64 = 0.75;
 const LIMIT_CUT: f64 = 0.85;
@@ -136,7 +137,8 @@
 /// beyond the capacity of a host is seldom served in time.
 const COLD_BUDGET_SHARE: f64 = 0.9;
 const COLD_DRAW_SHARE: f64 = 0.6;
-/// Random admission to a cold host applies up to this many ops per overload window.
+/// Random admission to a cold host applies while the work sent to it in the overload window is less than that
+/// of this many ops.
 const THIN_DEMAND_OPS: f64 = 4.0;
 /// One second: the interval at which rates are updated, and roughly the delay after which a failed list
 /// request is retried. Loss of contact for longer is taken for a restart, after which the host is cold.
@@ -161,7 +163,7 @@
 #[derive(Default)]
 pub struct Policy {
     params: PolicyParams,
-    /// Share of all reads that each zone's routers offer.
+    /// Share of all reads that arrive at the routers of each zone, by zone number.
     pub zone_read_shares: Vec<f64>,
     op_types: Vec<OpType>,
     tenant_shares: Vec<TenantShare>,
@@ -171,19 +173,19 @@
     long_read_replicas: f64,
     /// Work that reads may add to a primary, as a ratio of the work that must go there.
     fallback_ratio: f64,
-    /// The share of ops that the router has processor time for, and the time in ms after which refused
-    /// clients are asked to retry.
+    /// (share of new ops that the router has processor time for, time in ms after which the clients of the
+    /// other ops are asked to retry).
     admission: (f64, f64),
     ops: OpTable,
     session_commits: SessionCommits,
     retry_matcher: RetryMatcher,
     random: Random,
-    /// Time of the last tick or ended send.
+    /// Time of the last tick or ended send, for functions that are not given the time.
     now: f64,
     /// Until when connections are taken to be slow to open, and until when hosts are taken to accept few.
     slow_connect_until: f64,
     scarce_connections_until: f64,
-    /// Connections that failed fast at hosts that then answered a probe.
+    /// The last connection that failed fast at a host that then answered a probe.
     connection_refused: RecentEvent,
     rates_updated_at: f64,
     /// Work that warm hosts of capacity 1 do for this router, as [replicas, primaries].
@@ -193,7 +195,7 @@
     /// primaries]. They follow how many answers of cold hosts are late.
     cold_load_factors: [f64; 2],
     poll_list_at: f64,
-    /// A send, a probe or a list has ended since hosts were last checked for outliers.
+    /// A send, a probe or a list response has ended since hosts were last checked for outliers.
     is_outlier_check_due: bool,
     /// The list response being read names all hosts, not only changes.
     is_list_full: bool,
@@ -257,7 +259,7 @@
     }
 
     /// Sets the share of new ops that the router has processor time for, and the approximate time after which
-    /// the other clients may retry.
+    /// the clients of the other ops are asked to retry.
     pub fn set_admission(&mut self, share: f64, retry_after_ms: f64) {
         self.admission = (share, retry_after_ms);
     }
@@ -307,16 +309,21 @@
     /// or they have drained.
     pub fn list_ended(&mut self, now: f64, outbox: &mut dyn Outbox) {
         self.is_outlier_check_due = true;
-        let is_unlisted = |h: &&mut Host| self.is_list_full && h.list_revision != self.list_revision;
-        for h in
-            self.hosts.iter_mut().filter(is_unlisted).filter(|h| self.params.gone_is_binding || h.has_drained)
+        let is_unlisted =
+            |record: &&mut Host| self.is_list_full && record.list_revision != self.list_revision;
+        for record in self
+            .hosts
+            .iter_mut()
+            .filter(is_unlisted)
+            .filter(|record| self.params.gone_is_binding || record.has_drained)
         {
-            (h.state, h.unready_since) = (HostState::Gone, h.unready_since.min(now));
+            (record.state, record.unready_since) = (HostState::Gone, record.unready_since.min(now));
         }
         // A connection that is still opening may be ready only after the drain grace.
-        let has_sends_while_leaving =
-            |m: &usize| self.hosts[*m].state != HostState::Ready && !self.hosts[*m].in_flight.is_empty();
-        (0..self.hosts.len()).filter(has_sends_while_leaving).for_each(|m| outbox.cancel_unstarted(m));
+        let has_sends_while_leaving = |host: &usize| {
+            self.hosts[*host].state != HostState::Ready && !self.hosts[*host].in_flight.is_empty()
+        };
+        (0..self.hosts.len()).filter(has_sends_while_leaving).for_each(|host| outbox.cancel_unstarted(host));
         for group in 0..self.groups.len() {
             self.retry_held(now, outbox, group, false);
         }
@@ -330,7 +337,7 @@
         is_releasable && state::reset_host(&mut self.groups, &mut self.hosts, host, initial_limit)
     }
 
-    /// The list request failed or the watch broke. Requests the list again after about a second, with jitter,
+    /// The list request or the watch failed. The list is requested again after about a second, with jitter,
     /// so that routers do not retry in lockstep.
     pub fn list_failed(&mut self, now: f64) {
         self.poll_list_at = now + SECOND_MS * (0.5 + self.random.next_f64());
@@ -345,21 +352,22 @@
         position: Option<f64>,
         is_response: bool,
     ) {
-        let Some(h) = self.hosts.get_mut(host) else { return };
+        let Some(record) = self.hosts.get_mut(host) else { return };
         let position = position.filter(|p| p.is_finite() && *p <= now);
-        if let Some(p) = position.filter(|p| *p >= h.position) {
-            (h.position, h.position_at) = (p, now);
+        if let Some(p) = position.filter(|p| *p >= record.position) {
+            (record.position, record.position_at) = (p, now);
         }
         // A response is dated by its arrival: dated by its position, which is rounded down, a fast error
         // would clear the primary that sent it. A report is dated by its position, so that an old one cannot
         // restore a primary that a write has disproved since.
         let observed_at = if is_response { now } else { position.unwrap_or(f64::NEG_INFINITY) };
-        if role == Some(Role::Primary) && observed_at > h.primary_cleared_at.max(h.primary_seen_at) {
-            (h.primary_seen_at, h.is_freshness_exempt) = (observed_at, true);
-        } else if role == Some(Role::Replica) && (is_response || observed_at >= h.primary_seen_at) {
-            h.clear_primary(if is_response { now } else { h.primary_cleared_at });
-            h.replica_seen_at = now;
-            h.is_freshness_exempt &= !is_response;
+        if role == Some(Role::Primary) && observed_at > record.primary_cleared_at.max(record.primary_seen_at)
+        {
+            (record.primary_seen_at, record.is_freshness_exempt) = (observed_at, true);
+        } else if role == Some(Role::Replica) && (is_response || observed_at >= record.primary_seen_at) {
+            record.clear_primary(if is_response { now } else { record.primary_cleared_at });
+            record.replica_seen_at = now;
+            record.is_freshness_exempt &= !is_response;
         }
     }
 
@@ -372,12 +380,12 @@
         ending: Ending,
         elapsed_ms: f64,
     ) {
-        let Some(h) = self.hosts.get_mut(host) else { return };
-        (h.is_probe_in_flight, self.is_outlier_check_due) = (false, true);
-        let group = h.group;
+        let Some(record) = self.hosts.get_mut(host) else { return };
+        (record.is_probe_in_flight, self.is_outlier_check_due) = (false, true);
+        let group = record.group;
         if ending == Ending::Acked {
             // The host is up, so an earlier failure was one of its connections.
-            match std::mem::take(&mut h.failed_connect_ms) {
+            match std::mem::take(&mut record.failed_connect_ms) {
                 connect_ms if connect_ms > SLOW_CONNECT_MS => self.slow_connect_until = now + RETENTION_MS,
                 // A single failure may be a connection that the host broke. Where hosts accept few
                 // connections, another one follows soon.
@@ -386,15 +394,15 @@
                 }
                 _ => {}
             }
-            if h.down_since < f64::INFINITY {
+            if record.down_since < f64::INFINITY {
                 self.record_contact(now, outbox, host);
             }
-        } else if ending == Ending::Reset && !h.probe_reset.recurs_within(now, PROBE_INTERVAL_MS) {
+        } else if ending == Ending::Reset && !record.probe_reset.recurs_within(now, PROBE_INTERVAL_MS) {
             // The probe's connection may have been closed for the same reason as an op's. A host that is down
             // refuses the next one.
             self.probe_host(now, outbox, host);
-        } else if ending.is_contact_failure() && h.last_response_at < now - elapsed_ms {
-            h.failed_connect_ms = 0.0;
+        } else if ending.is_contact_failure() && record.last_response_at < now - elapsed_ms {
+            record.failed_connect_ms = 0.0;
             self.mark_unresponsive(now, outbox, host, "probe unanswered");
         }
         self.retry_held(now, outbox, group, false);
@@ -460,10 +468,11 @@
         } else {
             stats.spec.latency_target_ms
         };
-        // First tries share the most frequent client timeout. A different one is what remains of the op
-        // timeout for the last try, which dates the first try: after the latency target of that one, the op
-        // is not worth sending. Where clients do not mark retries, only as many ops are dated as were given
-        // up recently, so that clients that have merely shortened their timeout are served.
+        // First tries share the most frequent client timeout. A different one is taken for what remains of
+        // the op timeout to the last try, so it tells when the first try arrived: after the latency target of
+        // the first try, the op is not worth sending. Where clients do not mark retries, only as many ops are
+        // taken for last tries as were given up recently, so that clients that have merely shortened their
+        // timeout are served.
         (stats.recent_give_ups, stats.recent_give_ups_at) =
             (stats.recent_give_ups * 0.5f64.powf((now - stats.recent_give_ups_at) / op_timeout_ms), now);
         let is_usual_timeout = stats.client_timeout.observe(
@@ -472,8 +481,8 @@
             is_retry != Some(true),
         );
         let is_likely_first_try = is_usual_timeout || is_retry == Some(false);
-        // Where clients retry at the router that gave up their op, the time of arrival identifies the first
-        // try.
+        // Where clients retry at the router that gave up their op, the time of arrival shows which given-up
+        // op is the first try.
         stats.arrivals.add(now, 1.0, DEMAND_WINDOW_MS);
         let arrivals_per_ms = stats.arrivals.value / DEMAND_WINDOW_MS / self.groups.len() as f64;
         let matched_first_try = self.retry_matcher.match_retry(
@@ -534,7 +543,7 @@
         }
     }
 
-    /// The router shuts down: open ops are answered by this time.
+    /// The router shuts down: all ops that are open now get their final answers by this time.
     pub fn set_shutdown_deadline(&mut self, deadline: f64) {
         state::cap_give_up_at(&mut self.ops, deadline - self.params.reply_margin_ms);
     }
@@ -559,7 +568,7 @@
         now: f64,
         outbox: &mut dyn Outbox,
         id: OpId,
-        send: usize,
+        send_index: usize,
         ending: Ending,
         is_answered: bool,
     ) {
@@ -567,9 +576,9 @@
         let Some(slot) = self.ops.find(id) else { return };
         let op = self.ops.get_mut(slot);
         let group = op.group;
-        let Some(s) = op.sends.get_mut(send).filter(|s| s.ending.is_none()) else { return };
-        s.ending = Some(ending);
-        let result = SendResult { now, slot, host: s.host, sent_at: s.sent_at, ending };
+        let Some(send) = op.sends.get_mut(send_index).filter(|s| s.ending.is_none()) else { return };
+        send.ending = Some(ending);
+        let result = SendResult { now, slot, host: send.host, sent_at: send.sent_at, ending };
         let last_response_at = self.hosts[result.host].last_response_at;
         if ending.is_from_host() {
             self.record_contact(now, outbox, result.host);
@@ -694,8 +703,8 @@
         outbox.send(self.ops.get(slot).id, host, begin_by);
     }
 
-    /// Gives the final answer as soon as it is certain: a busy reply where a retry is harmless, else an error
-    /// reply.
+    /// Gives an op that will not be served its final answer: a busy reply where a retry is harmless, else an
+    /// error reply.
     fn give_up(&mut self, now: f64, outbox: &mut dyn Outbox, slot: usize) {
         let op = self.ops.get(slot);
         let stats = &mut self.op_types[op.op_type];
@@ -736,15 +745,15 @@
     /// Withdraws a send if it is outstanding.
     fn withdraw_send(&mut self, slot: usize, send_index: usize, outbox: &mut dyn Outbox) {
         let op = self.ops.get_mut(slot);
-        let s = &mut op.sends[send_index];
+        let send = &mut op.sends[send_index];
         // Withdrawing closes the connection. Where connections are slow to open, the next ops would be late.
         let keeps_connection =
-            self.now < self.slow_connect_until && self.hosts[s.host].uses_open_connection(slot);
-        if s.ending.is_none() && !s.is_withdrawn {
-            // Called even where a send that has left is not broken off: one that has not left yet must not
-            // leave after the final answer, and stopping it is no withdrawal at the host.
-            s.is_withdrawn = self.params.may_withdraw && !keeps_connection;
-            outbox.withdraw(op.id, send_index, s.is_withdrawn);
+            self.now < self.slow_connect_until && self.hosts[send.host].uses_open_connection(slot);
+        if send.ending.is_none() && !send.is_withdrawn {
+            // Called even if a completely written send is not to be aborted: any other must not be written
+            // after the final answer. Cancelling it is permitted, as the host sees no withdrawal.
+            send.is_withdrawn = self.params.may_withdraw && !keeps_connection;
+            outbox.withdraw(op.id, send_index, send.is_withdrawn);
         }
     }
 
@@ -790,42 +799,43 @@
             return StageOutcome::Continue;
         }
         let primary = self.primary_of(group);
-        if let Some(m) = primary.filter(|m| !self.hosts[*m].is_unresponsive) {
-            attempt.host = m;
+        if let Some(host) = primary.filter(|m| !self.hosts[*m].is_unresponsive) {
+            attempt.host = host;
             return StageOutcome::Continue;
         }
         // The host that peers have last seen as primary is probed, or sent the write, first.
-        let (g, hinted_at) = (&self.groups[group], |m: &usize| self.hosts[*m].peer_primary_hint());
-        let (members, is_recent) = (&g.members, attempt.now - g.no_primary_since < SECOND_MS);
+        let (group_record, hinted_at) = (&self.groups[group], |m: &usize| self.hosts[*m].peer_primary_hint());
+        let (members, is_recent) =
+            (&group_record.members, attempt.now - group_record.no_primary_since < SECOND_MS);
         let hinted = members.iter().copied().filter(|m| is_recent && hinted_at(m) > f64::NEG_INFINITY);
         let hinted = hinted.max_by(|a, b| hinted_at(a).total_cmp(&hinted_at(b)));
-        attempt.hosts_to_probe.extend(members.iter().filter(|m| hinted.is_none_or(|t| t == **m)));
-        // An unresponsive primary might lose writes that cannot be sent again.
+        attempt.hosts_to_probe.extend(members.iter().filter(|m| hinted.is_none_or(|host| host == **m)));
+        // A known but unresponsive primary gets no writes, as it might lose some that cannot be sent again.
         let is_search_running = self.groups[group].discovery_write.is_some_and(|s| s != attempt.slot);
         if primary.is_some() || consistency == Consistency::Fresh || is_search_running {
             return StageOutcome::Hold;
         }
         // The write tries the members that have not just reported being replicas, in turn.
         let (op, members) = (self.ops.get(attempt.slot), &self.groups[group].members);
-        let tries = op.sends.len();
+        let send_count = op.sends.len();
         let (first, count) = (self.groups[group].next_candidate, members.len());
-        let first = hinted.and_then(|t| members.iter().position(|m| *m == t)).unwrap_or(first);
-        let next = (0..count).map(|i| (first + i) % count).find(|i| {
-            let record = &self.hosts[members[*i]];
-            let tried = op.sends.iter().any(|s| s.host == members[*i]);
+        let first = hinted.and_then(|host| members.iter().position(|m| *m == host)).unwrap_or(first);
+        let next = (0..count).map(|i| (first + i) % count).find(|index| {
+            let record = &self.hosts[members[*index]];
+            let was_tried = op.sends.iter().any(|s| s.host == members[*index]);
             record.state == HostState::Ready
                 && !record.is_unresponsive
                 && record.replica_seen_at < attempt.now - PROBE_INTERVAL_MS
-                && !tried
+                && !was_tried
         });
-        let Some(i) = next.filter(|_| tries < self.params.max_sends.div_ceil(2)) else {
+        let Some(index) = next.filter(|_| send_count < self.params.max_sends.div_ceil(2)) else {
             // No member has accepted it: the next probe, not a further send, has to find the primary.
             self.ops.get_mut(attempt.slot).retry_not_before = attempt.now + PROBE_INTERVAL_MS;
             self.groups[group].discovery_write = None;
             return StageOutcome::Hold;
         };
-        attempt.host = members[i];
-        self.groups[group].next_candidate = i + 1;
+        attempt.host = members[index];
+        self.groups[group].next_candidate = index + 1;
         StageOutcome::Continue
     }
 
@@ -837,42 +847,45 @@
         let op = self.ops.get(attempt.slot);
         let primary = self.primary_of(op.group);
         let members = &self.groups[op.group].members;
-        let is_eligible = |m: &usize| {
-            let failed =
-                op.sends.iter().any(|s| s.host == *m && s.sent_at > attempt.now - 2.0 * PROBE_INTERVAL_MS);
-            self.hosts[*m].state == HostState::Ready && !failed
+        let is_eligible = |host: &usize| {
+            let was_just_tried =
+                op.sends.iter().any(|s| s.host == *host && s.sent_at > attempt.now - 2.0 * PROBE_INTERVAL_MS);
+            self.hosts[*host].state == HostState::Ready && !was_just_tried
         };
         let required_position = self.required_position(op, attempt.now);
         let mut candidates: Vec<usize> =
             members.iter().copied().filter(|m| is_eligible(m) && Some(*m) != primary).collect();
-        let rotation_position = |m: usize| self.hosts[m].rotation_position;
+        let rotation_position = |host: usize| self.hosts[host].rotation_position;
         candidates.sort_by(|a, b| rotation_position(*a).total_cmp(&rotation_position(*b)));
-        let is_fresh = |m: &usize| self.estimated_position(attempt.now, *m) >= required_position;
-        let is_suspect = |m: &usize| self.hosts[*m].down_since < f64::INFINITY;
+        let is_fresh = |host: &usize| self.estimated_position(attempt.now, *host) >= required_position;
+        let is_suspect = |host: &usize| self.hosts[*host].down_since < f64::INFINITY;
         let fresh: Vec<usize> = candidates.iter().copied().filter(is_fresh).collect();
         // An ejected host is tested with single reads; so is one that was behind, where probes cost more than
         // reads.
-        let may_try_stale =
-            |m: &usize| !is_fresh(m) && !is_suspect(m) && self.may_probe_host(attempt.now, *m);
-        let may_try_stale = |m: &usize| {
-            self.params.trial_reads_replace_probes && may_try_stale(m) && self.has_room(attempt.now, op, *m)
+        let is_stale_probe_due =
+            |host: &usize| !is_fresh(host) && !is_suspect(host) && self.may_probe_host(attempt.now, *host);
+        let may_try_stale = |host: &usize| {
+            self.params.trial_reads_replace_probes
+                && is_stale_probe_due(host)
+                && self.has_room(attempt.now, op, *host)
         };
         let trial =
             fresh.iter().copied().find(|m| self.hosts[*m].is_trial_due(attempt.now)).map(|m| (m, true));
         let trial = trial.or(candidates.iter().copied().find(may_try_stale).map(|m| (m, false)));
-        if let Some((m, trial)) = trial.filter(|_| op.sends.is_empty()) {
-            (attempt.host, attempt.is_trial, self.hosts[m].last_probe_at) = (m, trial, attempt.now);
+        if let Some((host, is_trial)) = trial.filter(|_| op.sends.is_empty()) {
+            (attempt.host, attempt.is_trial, self.hosts[host].last_probe_at) = (host, is_trial, attempt.now);
             return StageOutcome::Continue;
         }
         let responsive: Vec<usize> =
             fresh.iter().copied().filter(|m| !self.hosts[*m].is_unresponsive).collect();
         let pool: Vec<usize> = responsive.iter().copied().filter(|m| !self.hosts[*m].is_ejected).collect();
         // Only a probe shows whether the next replica in the rotation has caught up or responds again. Where
-        // few replicas are fresh, one whose probe is not due yet must not take the place of one whose probe
-        // is.
+        // few replicas are fresh, hosts whose probes are not due are left out: they must not take the place
+        // of one whose probe is.
         let is_pool_small = 2 * pool.len() <= candidates.len();
-        let needs_probe = |m: &usize| {
-            (!is_fresh(m) || is_suspect(m)) && (!is_pool_small || self.may_probe_host(attempt.now, *m))
+        let needs_probe = |host: &usize| {
+            (!is_fresh(host) || is_suspect(host))
+                && (!is_pool_small || self.may_probe_host(attempt.now, *host))
         };
         let max_probes =
             if pool.is_empty() && !self.params.hosts_reject_stale_reads { HOST_SUBSET_SIZE } else { 1 };
@@ -882,39 +895,43 @@
         // to the next idle one. How many depends on how many long reads are late; only the first where few
         // are caught up. Here and below, further digits of the admission draw serve as independent random
         // numbers.
-        let has_room = |m: &&usize| self.has_room(attempt.now, op, **m);
-        let mut order: Vec<&usize> = pool.iter().filter(|_| self.is_long(op.op_type)).collect();
-        order.sort_unstable();
+        let has_room = |host: &&usize| self.has_room(attempt.now, op, **host);
+        let mut long_read_order: Vec<&usize> = pool.iter().filter(|_| self.is_long(op.op_type)).collect();
+        long_read_order.sort_unstable();
         let caught_up_from = attempt.now - CAUGHT_UP_BOUND_SHARE * self.params.min_staleness_bound_ms;
-        let caught_up =
-            order.iter().filter(|m| self.estimated_position(attempt.now, ***m) >= caught_up_from).count()
-                as f64;
-        let may_spread = caught_up >= MIN_CAUGHT_UP_SHARE * order.len() as f64;
+        let caught_up = long_read_order
+            .iter()
+            .filter(|m| self.estimated_position(attempt.now, ***m) >= caught_up_from)
+            .count() as f64;
+        let may_spread = caught_up >= MIN_CAUGHT_UP_SHARE * long_read_order.len() as f64;
         let spread = if may_spread { self.long_read_replicas } else { 1.0 };
-        let assigned =
-            order.get(((op.admission_draw * 16.0).fract() * spread) as usize).filter(|m| has_room(m));
-        let within_spread = || order.iter().take(spread.ceil() as usize).find(|m| has_room(m));
+        let assigned = long_read_order
+            .get(((op.admission_draw * 16.0).fract() * spread) as usize)
+            .filter(|m| has_room(m));
+        let within_spread = || long_read_order.iter().take(spread.ceil() as usize).find(|m| has_room(m));
         let is_idle = |record: &Host| {
             record.in_flight.is_empty() && self.relative_weight(op.op_type) <= record.in_flight_limit
         };
-        let next_idle = || order.iter().find(|m| may_spread && is_idle(&self.hosts[***m]) && has_room(m));
-        if let Some(m) = assigned.or_else(within_spread).or_else(next_idle).or(order.first()) {
-            attempt.host = **m;
+        let next_idle =
+            || long_read_order.iter().find(|m| may_spread && is_idle(&self.hosts[***m]) && has_room(m));
+        if let Some(host) = assigned.or_else(within_spread).or_else(next_idle).or(long_read_order.first()) {
+            attempt.host = **host;
             return StageOutcome::Continue;
         }
         let has_few_connected = pool.iter().filter(|m| self.hosts[**m].open_connections > 0).count()
             < self.params.preferred_connected_replicas;
         let may_open_connection = has_few_connected && attempt.now >= self.slow_connect_until;
-        let is_available =
-            |m: &&usize| has_room(m) && (may_open_connection || self.hosts[**m].idle_connections() > 0);
+        let is_available = |host: &&usize| {
+            has_room(host) && (may_open_connection || self.hosts[**host].idle_connections() > 0)
+        };
         // A zone is drawn at random, and the read goes to the next replica in the rotation there. A congested
         // replica takes only some of these reads.
         let mut zone_capacity = vec![0.0; self.params.zone_count];
-        for m in &pool {
-            let capacity = zone_capacity.get_mut(self.hosts[*m].zone);
+        for host in &pool {
+            let capacity = zone_capacity.get_mut(self.hosts[*host].zone);
             capacity
                 .into_iter()
-                .for_each(|r| *r += self.hosts[*m].capacity * self.warm_fraction(attempt.now, *m));
+                .for_each(|sum| *sum += self.hosts[*host].capacity * self.warm_fraction(attempt.now, *host));
         }
         let mut zone_draw = (op.admission_draw * 1024.0).fract();
         let zone_shares = magpiewell_shares::zone_shares(
@@ -934,17 +951,17 @@
         // which it is next in the rotation. Judged by the little that one router sees of the warm ones, it
         // would otherwise get, from all routers, every op that the warm ones refuse.
         let is_warm = |m: &usize| self.warm_fraction(attempt.now, *m) >= 1.0;
-        let next_in_turn = [pool.first(), pool.iter().find(is_in_zone)];
+        let next_in_rotation = [pool.first(), pool.iter().find(is_in_zone)];
         let limits_cold = self.params.quota_ops_per_ms <= 0.0 && pool.iter().any(is_warm);
-        let may_take = |m: &&usize| !limits_cold || is_warm(m) || next_in_turn.contains(&Some(*m));
+        let may_take = |m: &&usize| !limits_cold || is_warm(m) || next_in_rotation.contains(&Some(*m));
         let mut order = pool.iter().filter(may_take);
         let pick =
             order.clone().find(|m| is_in_zone(m) && is_available(m)).or(order.clone().find(is_available));
         let pick = pick.or(order.find(has_room)).copied();
         // No replica is known to qualify; a probe may still find one.
-        let may_answer_soon = |m: &usize| {
-            !self.hosts[*m].is_unresponsive
-                && (self.hosts[*m].is_probe_in_flight || self.may_probe_host(attempt.now, *m))
+        let may_answer_soon = |host: &usize| {
+            !self.hosts[*host].is_unresponsive
+                && (self.hosts[*host].is_probe_in_flight || self.may_probe_host(attempt.now, *host))
         };
         let awaits_probe = pool.is_empty()
             && !self.params.hosts_reject_stale_reads
@@ -957,14 +974,14 @@
         let fallback =
             primary.filter(|m| pick.is_none() && is_eligible(m) && self.has_room(attempt.now, op, *m));
         let (first, responsive) = (pool.first().copied(), responsive.first().copied());
-        if let Some(m) = fallback.filter(|_| self.may_fall_back(attempt)) {
-            (attempt.host, attempt.is_fallback) = (m, true);
-        } else if let Some(m) = pick.or(first) {
-            attempt.host = m;
+        if let Some(host) = fallback.filter(|_| self.may_fall_back(attempt)) {
+            (attempt.host, attempt.is_fallback) = (host, true);
+        } else if let Some(host) = pick.or(first) {
+            attempt.host = host;
             // A host that was out of the rotation rejoins at the present position instead of catching up. The
             // position is random, as all routers would otherwise continue with the same host.
-            let rotation_position = self.hosts[m].rotation_position;
-            for other in candidates.into_iter().filter(|other| *other != m) {
+            let rotation_position = self.hosts[host].rotation_position;
+            for other in candidates.into_iter().filter(|other| *other != host) {
                 let (record, jitter) = (&mut self.hosts[other], self.random.next_f64());
                 record.rotation_position = if record.rotation_position < rotation_position {
                     rotation_position + jitter / record.capacity
@@ -998,8 +1015,8 @@
         admission_draw * fallback_work < self.fallback_ratio * primary_work.max(mean_primary_work)
     }
 
-    /// The position that a host is assumed to have. Where hosts reject stale reads, its lag is taken to be
-    /// constant; elsewhere its last reported position counts.
+    /// The log position that a host is assumed to have. Where hosts reject stale reads, its lag is taken to
+    /// be constant; elsewhere its last reported position counts.
     fn estimated_position(&self, now: f64, host: usize) -> f64 {
         let record = &self.hosts[host];
         match self.params.hosts_reject_stale_reads {
@@ -1077,8 +1094,8 @@
             result.ending == Ending::Full || spent_ms > LATE_TARGET_SHARE * stats.spec.latency_target_ms;
         if is_cold {
             let min_factor = MIN_SHARE * self.params.max_cold_load_factor;
-            let share = &mut self.cold_load_factors[role_index];
-            *share = (*share * if is_late { SHARE_CUT } else { SHARE_RISE })
+            let factor = &mut self.cold_load_factors[role_index];
+            *factor = (*factor * if is_late { SHARE_CUT } else { SHARE_RISE })
                 .clamp(min_factor, self.params.max_cold_load_factor);
         }
         if send.is_fallback {
@@ -1148,8 +1165,8 @@
     fn update_primary(&mut self, result: &SendResult) {
         let op = self.ops.get_mut(result.slot);
         let stats = &self.op_types[op.op_type];
-        let is_turned_away = matches!(result.ending, Ending::Full | Ending::Unreached);
-        if is_turned_away && self.hosts[result.host].primary_seen_at > f64::NEG_INFINITY {
+        let is_refused = matches!(result.ending, Ending::Full | Ending::Unreached);
+        if is_refused && self.hosts[result.host].primary_seen_at > f64::NEG_INFINITY {
             // Sent again at once, all ops that an overloaded primary refuses would return immediately.
             op.retry_not_before = result.now + 0.5 * stats.usual_ms * op.sends.len() as f64;
         }
@@ -1197,7 +1214,8 @@
         }
     }
 
-    /// The same, and until when the host's data is fresh enough where hosts do not reject stale reads.
+    /// Until when a send of the op to this host may begin: until its retry deadline and, where hosts do not
+    /// reject stale reads, while the host's data is fresh enough.
     fn send_deadline(&self, op: &Op, host: usize) -> f64 {
         let (spec, record) = (&self.op_types[op.op_type].spec, &self.hosts[host]);
         self.retry_deadline(op).min(match spec.consistency {
@@ -1221,7 +1239,7 @@
             && now < self.send_deadline(op, host)
     }
 
-    /// The position that a host needs for the op.
+    /// The log position that a host must have reached to serve the op.
     fn required_position(&self, op: &Op, now: f64) -> f64 {
         match self.op_types[op.op_type].spec.consistency {
             Consistency::Bounded => now - self.op_types[op.op_type].spec.staleness_bound_ms,
@@ -1386,8 +1404,8 @@
             // Given up just before the target: an op that fails after it costs more.
             let is_lost = op.sends.last().is_some_and(|s| s.is_lost && s.ending.is_none());
             let is_worthless_late = is_lost || self.op_types[op.op_type].spec.late_value == 0.0;
-            let is_late = now + self.params.tick_ms >= op.target_at && is_worthless_late;
-            if !op.is_answered && (is_late || now >= op.give_up_at) {
+            let is_too_late = now + self.params.tick_ms >= op.target_at && is_worthless_late;
+            if !op.is_answered && (is_too_late || now >= op.give_up_at) {
                 self.give_up(now, outbox, slot);
             }
         }
@@ -1403,11 +1421,17 @@
                     if record.in_flight_limit < MIN_LIMIT { IDLE_SHARE_RECOVERY } else { 1.0 };
             }
             // The mean work of warm hosts, not the median: with less than one op per host the median is 0.
-            let is_warm =
-                |m: &usize| self.hosts[*m].state == HostState::Ready && self.warm_fraction(now, *m) >= 1.0;
-            for m in (0..self.hosts.len()).filter(is_warm).collect::<Vec<_>>() {
-                let role_index = usize::from(self.primary_of(self.hosts[m].group) == Some(m));
-                self.warm_rates[role_index].add(now, 0.0, self.hosts[m].capacity * elapsed_ms, RETENTION_MS);
+            let is_warm = |host: &usize| {
+                self.hosts[*host].state == HostState::Ready && self.warm_fraction(now, *host) >= 1.0
+            };
+            for host in (0..self.hosts.len()).filter(is_warm).collect::<Vec<_>>() {
+                let role_index = usize::from(self.primary_of(self.hosts[host].group) == Some(host));
+                self.warm_rates[role_index].add(
+                    now,
+                    0.0,
+                    self.hosts[host].capacity * elapsed_ms,
+                    RETENTION_MS,
+                );
             }
             self.groups
                 .iter_mut()
@@ -1436,15 +1460,15 @@
                 .collect();
             // Two slow members of three raise their group's median; the fleet's median still exposes them.
             let baseline = median(latency_ratios).unwrap_or(1.0).min(fleet_median);
-            for m in members.clone() {
-                let record = &mut self.hosts[m];
+            for host in members.clone() {
+                let record = &mut self.hosts[host];
                 let is_outlier = record.latency_samples >= MIN_LATENCY_SAMPLES
                     && record.latency_ratio > OUTLIER_FACTOR * baseline;
                 if is_outlier != record.is_ejected {
                     (record.is_ejected, record.next_trial_at) = (is_outlier, now + PROBE_INTERVAL_MS);
                     let change = if is_outlier { "ejected" } else { "back in rotation" };
                     outbox.log(&format!(
-                        "host {m} {change}: {:.2} against a median of {baseline:.2}",
+                        "host {host} {change}: latency ratio {:.2} against a median of {baseline:.2}",
                         record.latency_ratio
                     ));
                 }
@@ -1452,13 +1476,14 @@
         }
     }
 
-    /// Marks sends as lost that were overtaken or whose host is unresponsive, and retries their ops
-    /// elsewhere.
+    /// Marks sends as lost that were overtaken or whose host is unresponsive. Where permitted, their ops are
+    /// sent to other hosts.
     fn detect_lost_sends(&mut self, now: f64, outbox: &mut dyn Outbox, host: usize) {
         let record = &mut self.hosts[host];
         let slowdown = record.latency_ratio.max(1.0);
         let is_late = |send: &InFlightSend| now - send.sent_at > LOST_SEND_FACTOR * send.usual_ms * slowdown;
-        // Late sends are lost even where the host answers others; they no longer count towards its limit.
+        // Overtaken sends are lost although the host responds to others; they no longer count towards its
+        // limit.
         let is_unresponsive = record.is_unresponsive;
         let is_overtaken = |send: &InFlightSend| is_late(send) && send.sent_at < record.last_response_at;
         let lost_sends: Vec<InFlightSend> =
@@ -1504,8 +1529,8 @@
         }
     }
 
-    /// Whether an op may have the host probed: its last report or probe is not recent. The number of probes
-    /// thus grows with the ops, not with the hosts.
+    /// Whether a probe of the host may be sent: its last report or probe is not recent. As probes are sent
+    /// only for ops and for reports of peers, their number does not grow with that of hosts.
     fn may_probe_host(&self, now: f64, host: usize) -> bool {
         let record = &self.hosts[host];
         // A host that is far behind, or has been down for long, will not be back soon.
--- a/src/state.rs
+++ b/src/state.rs
@@ -31,7 +31,7 @@
     pub max_cold_load_factor: f64,
     /// Single reads are sent to replicas that were behind, instead of probes.
     pub trial_reads_replace_probes: bool,
-    /// Replicas of a group that have connections before connections to others are opened.
+    /// Number of replicas per group that get connections before any others do.
     pub preferred_connected_replicas: usize,
     /// Ops per millisecond that all tenants may send to one router within their shares.
     pub quota_ops_per_ms: f64,
@@ -198,7 +198,8 @@
         self.recent_sends.iter().filter(|(at, _)| *at > since).map(|(_, work_ms)| work_ms).sum()
     }
 
-    /// Handles a restart: what was known about the previous process is void, except the log position.
+    /// Records when the host started. After a restart it counts as responsive, its in-flight limit is at most
+    /// the initial one, and evidence of a primary from before the start is void. The log position stays.
     pub fn record_start(&mut self, started_at: f64, initial_limit: f64) {
         if started_at.is_finite() && started_at > self.started_at + 1.0 {
             self.in_flight_limit = self.in_flight_limit.min(initial_limit);
@@ -314,8 +315,9 @@
     pub arrived_at: f64,
     /// Estimated arrival of the op's first try.
     pub first_try_at: f64,
-    /// Latency target and final deadline, as points in time.
+    /// When the latency target ends.
     pub target_at: f64,
+    /// When the op gets its final answer at the latest.
     pub give_up_at: f64,
     /// Position that a host must have applied for the op to see its data.
     pub min_position: f64,
@@ -323,7 +325,8 @@
     pub is_over_share: bool,
     /// Treated as a first try.
     pub is_first_try: bool,
-    /// Random number drawn once per op, in [0, 1); the op passes where less than a given share is admitted.
+    /// Random number in [0, 1), drawn once per op. Where only a share of ops is admitted, those with a draw
+    /// below that share are.
     pub admission_draw: f64,
     /// Already counted among the reads that would fall back to the primary.
     pub is_counted_as_fallback: bool,
@@ -394,7 +397,7 @@
     pub held_ops: Vec<usize>,
     /// Slot of the one write that is sent to find the primary.
     pub discovery_write: Option<usize>,
-    /// Since when ops have waited for an unknown primary; infinite otherwise.
+    /// Since when ops have been held for lack of a known primary; infinite otherwise.
     pub no_primary_since: f64,
     /// Index into `members` at which the search for the primary continues.
     pub next_candidate: usize,
@@ -548,7 +551,7 @@
         && !ops.slots.iter().flatten().any(is_target)
 }
 
-/// Resets a host's record and removes the host from its group.
+/// Resets a host's record and removes the host from its group. Always true.
 pub fn reset_host(groups: &mut [Group], hosts: &mut [Host], host: usize, initial_limit: f64) -> bool {
     let old = std::mem::replace(&mut hosts[host], Host::new(usize::MAX, initial_limit));
     move_member(groups, host, old.group, usize::MAX);
@@ -570,6 +573,7 @@
 #[derive(Default)]
 pub struct SessionCommits {
     by_session: HashMap<u64, f64>,
+    /// (session, commit), in the order in which they were recorded.
     by_age: VecDeque<(u64, f64)>,
     floor: Option<f64>,
 }
@@ -589,7 +593,7 @@
         }
     }
 
-    /// The latest commit that a read of the session must see.
+    /// The commit up to which a read of the session must see the data.
     pub fn latest(&self, session: u64) -> f64 {
         let known = self.by_session.get(&session).copied();
         known.or(self.floor).unwrap_or(f64::NEG_INFINITY)
@@ -613,9 +617,9 @@
     }
 }
 
-/// Exponential moving average with smoothing factor `weight`.
-pub fn update_average(average: &mut f64, value: f64, weight: f64) {
-    *average += (value - *average) * weight;
+/// Adds a value to an exponential moving average.
+pub fn update_average(average: &mut f64, value: f64, smoothing_factor: f64) {
+    *average += (value - *average) * smoothing_factor;
 }
 
 /// The lower median; `None` for no values.
@@ -771,7 +775,7 @@
     pub is_trial: bool,
     /// A read that falls back to the primary.
     pub is_fallback: bool,
-    /// Hosts whose state the op needs to know.
+    /// Hosts to probe if a probe of them is due, as their state decides where the op can be sent.
     pub hosts_to_probe: Vec<usize>,
 }
 
@@ -870,7 +874,8 @@
 }
 
 impl MajorityValue {
-    /// True where the value equals the most frequent one within the tolerance. It counts only if it can vote.
+    /// True if the value equals the most frequent one within the tolerance. Only a value that can vote may
+    /// change which one is the most frequent.
     pub fn observe(&mut self, value: f64, tolerance: f64, can_vote: bool) -> bool {
         let is_majority = (value - self.value).abs() < tolerance;
         if can_vote {
