--- a/src/policy_tests.rs
+++ b/src/policy_tests.rs
@@ -73,9 +73,9 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     Send(OpId, usize),
-    /// The send is to be broken off even if it has left.
+    /// The send is to be aborted even if it is completely written.
     Withdraw(OpId, usize),
-    /// The send is only to be stopped if it has not left yet.
+    /// The send is to be cancelled only if it is not completely written.
     WithdrawUnsent(OpId, usize),
     CancelUnstarted(usize),
     BusyReply(OpId),
@@ -103,8 +103,8 @@
         self.0.push(Action::CancelUnstarted(host));
     }
 
-    fn busy_reply(&mut self, op: OpId, retry_ms: f64) {
-        assert!((0.0..=1000.0).contains(&retry_ms));
+    fn busy_reply(&mut self, op: OpId, retry_after_ms: f64) {
+        assert!((0.0..=1000.0).contains(&retry_after_ms));
         self.0.push(Action::BusyReply(op));
     }
 
@@ -124,8 +124,8 @@
         self.0.push(Action::WatchHostList);
     }
 
-    fn wake_after(&mut self, in_ms: f64) {
-        assert!(in_ms > 0.0);
+    fn wake_after(&mut self, delay_ms: f64) {
+        assert!(delay_ms > 0.0);
     }
 
     fn log(&mut self, _line: &str) {}
@@ -158,7 +158,7 @@
     policy: Policy,
     options: PolicyOptions,
     outbox: RecordingOutbox,
-    /// Whether ops are marked as retries; `None` where clients do not mark them.
+    /// How further ops are marked: as retries or as first tries; `None` where clients do not mark them.
     is_retry: Option<bool>,
     ops: Vec<ModelOp>,
     hosts: Vec<ModelHost>,
@@ -210,28 +210,31 @@
     fn apply_list(&mut self, entries: &[(HostState, f64)]) {
         self.policy.list_started(true, false);
         for (host, (state, started_at)) in entries.iter().enumerate() {
-            let h = &mut self.hosts[host];
-            h.has_drained = *state == HostState::Draining || (*state == HostState::Gone && h.has_drained);
+            let model_host = &mut self.hosts[host];
+            model_host.has_drained =
+                *state == HostState::Draining || (*state == HostState::Gone && model_host.has_drained);
             let is_assumed_ready =
-                *state == HostState::Gone && !h.has_drained && !self.options.gone_is_binding;
-            h.unready_since = if *state == HostState::Ready || is_assumed_ready {
+                *state == HostState::Gone && !model_host.has_drained && !self.options.gone_is_binding;
+            model_host.unready_since = if *state == HostState::Ready || is_assumed_ready {
                 None
             } else {
-                h.unready_since.or(Some(self.now))
+                model_host.unready_since.or(Some(self.now))
             };
-            self.policy.host_listed(self.now, host, host_entry(h.group, *state, 1.0, *started_at));
+            self.policy.host_listed(self.now, host, host_entry(model_host.group, *state, 1.0, *started_at));
         }
         self.policy.list_ended(self.now, &mut self.outbox);
         self.check();
     }
 
     fn report(&mut self, host: usize, role: Option<Role>, position: Option<f64>, is_response: bool) {
-        let h = &mut self.hosts[host];
-        h.position = position.map_or(h.position, |p| p.max(h.position));
+        let model_host = &mut self.hosts[host];
+        model_host.position = position.map_or(model_host.position, |p| p.max(model_host.position));
         self.policy.host_reported(self.now, host, role, position, is_response);
         match role {
-            Some(Role::Primary) => h.is_freshness_exempt = self.policy.hosts[host].is_freshness_exempt,
-            Some(Role::Replica) if is_response => h.is_freshness_exempt = false,
+            Some(Role::Primary) => {
+                model_host.is_freshness_exempt = self.policy.hosts[host].is_freshness_exempt
+            }
+            Some(Role::Replica) if is_response => model_host.is_freshness_exempt = false,
             _ => {}
         }
     }
@@ -295,14 +298,16 @@
 
     /// Whether the rules permit sending the op to the host now, according to the model.
     fn model_allows(&self, op: &ModelOp, host: usize) -> bool {
-        let h = &self.hosts[host];
+        let model_host = &self.hosts[host];
         let max_outstanding = if self.options.may_hedge { 2 } else { 1 };
         let outstanding = op.sends.iter().filter(|s| s.2.is_none()).count();
-        let is_unavailable = h.unready_since.is_some_and(|t| self.now - t >= DRAIN_GRACE_MS - 5.0);
+        let is_unavailable =
+            model_host.unready_since.is_some_and(|since| self.now - since >= DRAIN_GRACE_MS - 5.0);
         let required_position =
             if op.op_type == BOUNDED { self.now - STALENESS_BOUND_MS } else { op.min_position };
-        let is_fresh =
-            self.options.hosts_reject_stale_reads || h.is_freshness_exempt || h.position >= required_position;
+        let is_fresh = self.options.hosts_reject_stale_reads
+            || model_host.is_freshness_exempt
+            || model_host.position >= required_position;
         let may_retry = match (op.op_type, Self::first_possible_run_at(op)) {
             (WRITE, Some(_)) => false,
             (TOKENED, Some(sent_at)) => self.now - sent_at < TOKEN_WINDOW_MS - 5.0,
@@ -310,7 +315,7 @@
         };
         let is_open = op.answers == 0 && self.now < op.deadline - 10.0;
         is_open
-            && h.group == op.group
+            && model_host.group == op.group
             && op.sends.len() < 4
             && outstanding < max_outstanding
             && !is_unavailable
@@ -318,8 +323,8 @@
             && may_retry
     }
 
-    /// Checks every action since the last check against the model, then compares what the policy and the
-    /// model allow for every op and host.
+    /// Checks every action since the last check against the model, then checks that the policy and the model
+    /// allow the same for every op and host.
     fn check(&mut self) {
         for action in std::mem::take(&mut self.outbox.0) {
             match &action {
@@ -637,10 +642,10 @@
 fn reads_probe_the_first_host_whose_probe_is_due() {
     let mut harness =
         Harness::with_known_roles(PolicyOptions { hosts_reject_stale_reads: true, ..options() }, 1, 4);
-    for (host, lag, ago) in [(2, 6000.0, 0.0), (3, 700.0, 1000.0)] {
-        let h = &mut harness.policy.hosts[host];
-        (h.rotation_position, h.position, h.position_at) =
-            (host as f64, harness.now - ago - lag, harness.now - ago);
+    for (host, lag_ms, age_ms) in [(2, 6000.0, 0.0), (3, 700.0, 1000.0)] {
+        let record = &mut harness.policy.hosts[host];
+        (record.rotation_position, record.position, record.position_at) =
+            (host as f64, harness.now - age_ms - lag_ms, harness.now - age_ms);
     }
     harness.arrive(BOUNDED, 0, OP_TIMEOUT_MS, 0.0);
     assert!(harness.policy.hosts[3].is_probe_in_flight && !harness.policy.hosts[2].is_probe_in_flight);
@@ -760,7 +765,7 @@
         harness.policy.client_left(harness.now, &mut harness.outbox, &[op as OpId]);
     }
     let stats = &harness.policy.op_types[ANY];
-    // One answer per 140 ms of waiting: that is how long an answer takes if the remaining time does not
+    // One answer per 140 ms of waiting: that is the mean time to an answer if the remaining time does not
     // depend on the time that has passed.
     assert!(
         stats.usual_ms < 50.0 && (120.0..160.0).contains(&stats.send_ms),
@@ -877,7 +882,7 @@
 }
 
 #[test]
-fn many_routers_start_rotation_at_random_and_fall_back_in_part() {
+fn many_routers_start_rotation_at_random_and_fall_back_with_a_part_of_their_reads() {
     // Guards against two failures with 150 routers of one op per second each: all of them read from the same
     // replica first, and when it lagged, each had room for one read on the primary, which overloaded it and
     // delayed its writes.
@@ -944,7 +949,7 @@
     assert!((4..36).contains(&sent), "{sent} of 40 sent");
 }
 
-/// Sends one write whose connection fails after `elapsed_ms` at a host that then answers a probe.
+/// Sends one write whose connection fails after `elapsed_ms`, to a host that then answers a probe.
 fn fail_connection(harness: &mut Harness, elapsed_ms: f64) {
     harness.policy.op_types[WRITE].usual_ms = 10.0;
     let op = harness.arrive(WRITE, 0, elapsed_ms + 30.0, 0.0);
@@ -1162,7 +1167,8 @@
     }
 }
 
-/// Sends `count` reads one after another, each acked after `latency_ms` of its host; returns their hosts.
+/// Sends `count` reads in a group of five hosts one after another, each acked after the `latency_ms` of its
+/// host; returns their hosts.
 fn read_sequentially(harness: &mut Harness, count: usize, latency_ms: impl Fn(usize) -> f64) -> Vec<usize> {
     let read_once = |_| {
         harness.refresh(5);
@@ -1323,7 +1329,7 @@
     (harness.policy.params.warmup_ms, harness.policy.hosts[2].started_at) = (1e9, harness.now);
     let hosts = read_sequentially(&mut harness, 160, |_| 100.0);
     let reads = hosts.iter().filter(|h| **h == 2).count();
-    // A fifth of the reads of a warm host: one of sixteen.
+    // Host 2 gets a fifth of the reads of a warm host, which is one read of sixteen.
     assert!(reads.abs_diff(10) <= 2, "{reads}");
 }
 
@@ -1408,7 +1414,7 @@
 }
 
 #[test]
-fn random_arrivals_are_not_dated_where_clients_retry_elsewhere() {
+fn random_arrivals_are_not_taken_for_retries_where_clients_retry_elsewhere() {
     // Behind a load balancer that sends retries to any router, some ops arrive at the time of a retry all the
     // same.
     let mut harness = Harness::with_known_roles(options(), 1, 3);
--- a/tests/replaced_hosts.rs
+++ b/tests/replaced_hosts.rs
@@ -1,7 +1,7 @@
-//! Simulates some or a hundred routers, each with its own policy and a few ops per second, while two thirds
-//! of the hosts, primaries included, are replaced within a second. Time is virtual. A host is a queue whose
-//! capacity grows while it warms up. Checks the share of ops served in time after the replacement, and that
-//! all routers together do not overload any cold host.
+//! Simulates a few dozen or a hundred routers, each with its own policy and a few ops per second, while two
+//! thirds of the hosts, primaries included, are replaced within a second. Time is virtual. A host is a queue
+//! whose capacity grows while it warms up. Checks the share of ops served in time after the replacement, and
+//! that all routers together do not overload any cold host.
 
 use magpiewell::policy::Policy;
 use magpiewell::state::Random;
@@ -78,7 +78,7 @@
 
 enum Action {
     Send(OpId, usize),
-    /// (op, time after which to retry in ms).
+    /// (op, time in ms after which to retry).
     BusyReply(OpId, f64),
     ErrorReply(OpId),
     Probe(usize),
@@ -94,8 +94,8 @@
 
     fn withdraw(&mut self, _: OpId, _: usize, _: bool) {}
 
-    fn busy_reply(&mut self, op: OpId, retry_ms: f64) {
-        self.0.push(Action::BusyReply(op, retry_ms));
+    fn busy_reply(&mut self, op: OpId, retry_after_ms: f64) {
+        self.0.push(Action::BusyReply(op, retry_after_ms));
     }
 
     fn error_reply(&mut self, op: OpId) {
@@ -150,6 +150,7 @@
     cores: f64,
     /// `None` for the hosts that are there from the start.
     started_at: Option<f64>,
+    /// When the host has finished all work received.
     free_at: f64,
     /// (time, work in ms) of each send received.
     received_work: Vec<(f64, f64)>,
@@ -158,8 +159,8 @@
 impl Host {
     /// Number of ops that the host runs at once by now.
     fn capacity(&self, now: f64) -> f64 {
-        let age = self.started_at.map_or(WARMUP_MS, |started_at| now - started_at);
-        self.cores * (COLD_CAPACITY_SHARE + (1.0 - COLD_CAPACITY_SHARE) * age / WARMUP_MS).min(1.0)
+        let age_ms = self.started_at.map_or(WARMUP_MS, |started_at| now - started_at);
+        self.cores * (COLD_CAPACITY_SHARE + (1.0 - COLD_CAPACITY_SHARE) * age_ms / WARMUP_MS).min(1.0)
     }
 }
 
@@ -182,7 +183,7 @@
     ops: HashMap<OpId, Op>,
     last_op: OpId,
     random: Random,
-    /// Ops that arrived, and ops that were served in time, by the second of the first try.
+    /// Number of ops that arrived, and of those that were served in time, by the second of the first try.
     arrived: Vec<f64>,
     served: Vec<f64>,
 }
@@ -240,11 +241,11 @@
                 Action::Probe(host) => self.schedule(self.now + 3.0, Event::ProbeEnded { router, host }),
                 Action::Send(op, host) => self.send(router, op, host),
                 Action::ErrorReply(op) => self.ops.get_mut(&op).unwrap().is_answered = true,
-                Action::BusyReply(op, retry_ms) => {
-                    let o = self.ops.get_mut(&op).unwrap();
-                    o.is_answered = true;
-                    let Op { op_type, group, first_try_at, earlier_tries, .. } = *o;
-                    let retry_at = self.now + retry_ms.max(50.0);
+                Action::BusyReply(op, retry_after_ms) => {
+                    let op_record = self.ops.get_mut(&op).unwrap();
+                    op_record.is_answered = true;
+                    let Op { op_type, group, first_try_at, earlier_tries, .. } = *op_record;
+                    let retry_at = self.now + retry_after_ms.max(50.0);
                     if earlier_tries < 3 && retry_at < first_try_at + OP_TIMEOUT_MS {
                         self.schedule(
                             retry_at,
@@ -263,19 +264,19 @@
     }
 
     fn send(&mut self, router: usize, op: OpId, host: usize) {
-        let (now, work) = (self.now, self.exponential(MEAN_WORK_MS));
+        let (now, work_ms) = (self.now, self.exponential(MEAN_WORK_MS));
         let is_rejected = self.ops[&op].op_type == WRITE && self.role(host) == Role::Replica;
-        let o = self.ops.get_mut(&op).unwrap();
-        let send = o.sends;
-        o.sends += 1;
+        let op_record = self.ops.get_mut(&op).unwrap();
+        let send = op_record.sends;
+        op_record.sends += 1;
         if is_rejected {
             return self
                 .schedule(now + 2.0, Event::SendEnded { router, op, send, host, ending: Ending::Missed });
         }
-        let h = &mut self.hosts[host];
-        h.received_work.push((now, work));
-        h.free_at = h.free_at.max(now) + work / h.capacity(now);
-        let done_at = h.free_at.max(now + work) + 1.0;
+        let host_record = &mut self.hosts[host];
+        host_record.received_work.push((now, work_ms));
+        host_record.free_at = host_record.free_at.max(now) + work_ms / host_record.capacity(now);
+        let done_at = host_record.free_at.max(now + work_ms) + 1.0;
         self.schedule(done_at, Event::SendEnded { router, op, send, host, ending: Ending::Acked });
     }
 
@@ -311,13 +312,16 @@
             }
             Event::SendEnded { router, op, send, host, ending } => {
                 let role = self.role(host);
-                let o = self.ops.get_mut(&op).unwrap();
-                let was_answered = o.is_answered;
-                o.is_answered |= ending == Ending::Acked;
-                if !was_answered && ending == Ending::Acked && now - o.first_try_at <= LATENCY_TARGET_MS {
-                    self.served[(o.first_try_at / 1000.0) as usize] += 1.0;
+                let op_record = self.ops.get_mut(&op).unwrap();
+                let was_answered = op_record.is_answered;
+                op_record.is_answered |= ending == Ending::Acked;
+                if !was_answered
+                    && ending == Ending::Acked
+                    && now - op_record.first_try_at <= LATENCY_TARGET_MS
+                {
+                    self.served[(op_record.first_try_at / 1000.0) as usize] += 1.0;
                 }
-                let is_answered = o.is_answered;
+                let is_answered = op_record.is_answered;
                 let policy = &mut self.routers[router];
                 policy.host_reported(now, host, Some(role), Some(now), true);
                 policy.send_ended(now, &mut outbox, op, send, ending, is_answered);
@@ -335,8 +339,8 @@
         self.apply_actions(router, outbox);
     }
 
-    /// Runs a simulation. `rate` is the number of ops per second and group, over all routers.
-    fn run(routers: usize, cores: f64, rate: f64, seed: u64) -> Simulation {
+    /// Runs a simulation. `ops_per_second` is the rate per group, over all routers.
+    fn run(routers: usize, cores: f64, ops_per_second: f64, seed: u64) -> Simulation {
         let old = (0..GROUPS * MEMBERS_PER_GROUP).map(|index| Host {
             group: index / MEMBERS_PER_GROUP,
             cores,
@@ -377,7 +381,7 @@
         }
         let mut arrives_at = 0.0;
         while arrives_at < END_AT - 2.0 * OP_TIMEOUT_MS {
-            arrives_at += simulation.exponential(1000.0 / (rate * GROUPS as f64));
+            arrives_at += simulation.exponential(1000.0 / (ops_per_second * GROUPS as f64));
             let router = (simulation.random.next_f64() * routers as f64) as usize;
             let group = (simulation.random.next_f64() * GROUPS as f64) as usize;
             let op_type = if simulation.random.next_f64() < 0.3 { WRITE } else { READ };
@@ -408,7 +412,7 @@
         simulation
     }
 
-    /// The share served in time of the ops whose first try arrived in these seconds.
+    /// The share served in time of the ops whose first try arrived from second `from` to before second `to`.
     fn served_share(&self, from: usize, to: usize) -> f64 {
         self.served[from..to].iter().sum::<f64>() / self.arrived[from..to].iter().sum::<f64>()
     }
@@ -485,7 +489,7 @@
 /// requests at which it fails in the last three cases.
 #[test]
 fn a_few_dozen_routers_together_overload_no_cold_host() {
-    // (routers, cores, load relative to the design load, seed, least share served late in the run).
+    // (routers, cores, load relative to the design load, seed, minimum share served late in the run).
     let cases = [
         (20, CORES, 1.0, 1, 0.8),
         (20, 0.5, 3.0, 1, 0.1),
