--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -12,7 +12,7 @@
 const PRIMARY_CODE: u32 = 1;
 const REPLICA_CODE: u32 = 2;
 
-/// Maps hosts' addresses to the indices that the policy knows them by, and back.
+/// Maps the hosts' encoded addresses to the indices that the policy knows them by, and back.
 #[derive(Default)]
 struct HostTable {
     indices: HashMap<[u8; 6], usize>,
@@ -37,13 +37,13 @@
 }
 
 impl Outbox for ReplyOutbox<'_> {
-    /// In the simulator a send leaves at once, so `begin_by` has no effect.
+    /// The simulator writes a send at once, so `begin_by` has no effect.
     fn send(&mut self, op: OpId, host: usize, _begin_by: f64) {
         self.reply.push(action::ROUTE, self.router, &[&op.to_le_bytes(), &self.hosts.addresses[host]]);
     }
 
     fn withdraw(&mut self, op: OpId, send: usize, abort: bool) {
-        // The send has left already; without `abort` it runs on.
+        // The send is completely written already; without `abort` it continues.
         if !abort {
             return;
         }
@@ -81,6 +81,7 @@
     }
 }
 
+/// Maps the simulator's code for the end of a send or a probe.
 fn ending_from_code(code: u16) -> Ending {
     match code {
         0 => Ending::Acked,
@@ -95,6 +96,7 @@
     }
 }
 
+/// A router instance: its policy, the hosts it knows, and how events are translated for it.
 pub struct Instance {
     router: u32,
     options: AdapterOptions,
@@ -215,7 +217,7 @@
         let Some(&op_timeout_ms) = self.options.op_timeouts_ms.get(op_type) else {
             return out.error_reply(id);
         };
-        // Bit 0: the op states its own work; bit 1: it is a retry.
+        // Bit 0: the op states its own work. Bit 1: it is a retry.
         let flags = record[51];
         let work_ms = if flags & 1 != 0 { wire::f64_at(record, 35) * 1000.0 } else { 0.0 };
         let since_write_ms = self.options.clients_report_writes.then(|| wire::f32_at(record, 47) as f64);
@@ -237,7 +239,8 @@
         self.policy.op_arrived(now_ms, out, request);
     }
 
-    /// Applies the stamp of an answer: 4 x log position in ms + role code; position 0 means none.
+    /// Applies the stamp of an answer: four times the log position in ms, plus the role code. Position 0
+    /// means none.
     fn observe_stamp(&mut self, now_ms: f64, host: usize, stamp: u32) {
         let role = match stamp % 4 {
             PRIMARY_CODE => Some(Role::Primary),
@@ -257,9 +260,9 @@
         };
         // Rounding to f32 may have raised the position; the next lower value is never too high.
         let position = value(self.options.report_position_index)
-            .map(|x| self.options.position_origin_ms + x.next_down() as f64 * 1000.0);
+            .map(|seconds| self.options.position_origin_ms + seconds.next_down() as f64 * 1000.0);
         let role = value(self.options.report_role_index);
-        let role = role.map(|x| if x >= 0.5 { Role::Primary } else { Role::Replica });
+        let role = role.map(|code| if code >= 0.5 { Role::Primary } else { Role::Replica });
         if role.is_some() || position.is_some() {
             self.policy.host_reported(now_ms, host, role, position, false);
         }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -16,7 +16,7 @@
 const HOST_LISTS: usize = 16;
 
 struct Adapter {
-    /// Router instances by the simulator's number.
+    /// Router instances by the number that the simulator gives them.
     instances: HashMap<u32, Instance>,
     /// The numbered host lists, shared by all instances, as encoded entries.
     host_lists: Vec<Vec<u8>>,
@@ -24,7 +24,7 @@
 
 impl Adapter {
     fn handle_frame(&mut self, frame: &Frame, reply: &mut Reply) -> Result<(), String> {
-        let now_ms = frame.clock * 1000.0;
+        let now_ms = frame.clock_s * 1000.0;
         for (index, record) in frame.records().enumerate() {
             let tail = Tail(frame.tail());
             self.handle_event(now_ms, record, &tail, reply).map_err(|e| format!("record {index}: {e}"))?;
@@ -32,8 +32,8 @@
         Ok(())
     }
 
-    /// Handles one event. An error means that the input is malformed; a failing instance is only removed and
-    /// reported.
+    /// Handles one event. Returns an error if the input is malformed. An instance that fails is removed, and
+    /// its failure is put into the reply.
     fn handle_event(
         &mut self,
         now_ms: f64,
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -11,16 +11,27 @@
 
 /// Codes of the events that the simulator sends.
 pub mod event {
+    /// A client has sent an op.
     pub const SUBMIT: u8 = 16;
+    /// The start of a streamed answer; ignored.
     pub const HEADERS: u8 = 17;
+    /// Starts a router instance with the given settings.
     pub const SPAWN: u8 = 18;
+    /// A send has ended.
     pub const ATTEMPT_END: u8 = 19;
+    /// The time requested by [`action::WAKE_AT`](super::action::WAKE_AT) has come.
     pub const ELAPSED: u8 = 20;
+    /// Removes a router instance.
     pub const DESTROY: u8 = 21;
+    /// Gives a router instance a list response, by the number of a stored list.
     pub const ANNOUNCE: u8 = 22;
+    /// A probe has ended.
     pub const STATUS_BACK: u8 = 23;
+    /// Stores a host list under a number.
     pub const INVENTORY: u8 = 24;
+    /// A message from another router; ignored.
     pub const WHISPER: u8 = 25;
+    /// The client of an op no longer waits for it.
     pub const ABANDONED: u8 = 26;
     pub const FIRST: u8 = SUBMIT;
     pub const LAST: u8 = ABANDONED;
@@ -28,15 +39,25 @@
 
 /// Codes of the actions that the adapter replies with.
 pub mod action {
+    /// Sends an op to a host.
     pub const ROUTE: u8 = 16;
+    /// Gives an op a busy reply.
     pub const DECLINE: u8 = 17;
+    /// Gives an op an error reply.
     pub const REPORT_FAILURE: u8 = 18;
+    /// Withdraws a send.
     pub const WITHDRAW: u8 = 19;
+    /// Requests an [`event::ELAPSED`](super::event::ELAPSED) after a delay.
     pub const WAKE_AT: u8 = 20;
+    /// Probes a host.
     pub const TOUCH: u8 = 21;
+    /// Closes the idle connections to a host.
     pub const SHUT_IDLE: u8 = 22;
+    /// Writes a log line.
     pub const RECORD: u8 = 24;
+    /// Reports that the router instance has failed.
     pub const DIE: u8 = 25;
+    /// Requests the host list and a watch for changes.
     pub const KEEP_INFORMED: u8 = 26;
 }
 
@@ -71,8 +92,8 @@
 
 /// A batch of event records, followed by a tail that the records refer to.
 pub struct Frame {
-    /// The simulator's clock, in seconds.
-    pub clock: f64,
+    /// Time on the simulator's clock.
+    pub clock_s: f64,
     count: usize,
     body: Vec<u8>,
 }
@@ -83,7 +104,7 @@
         if count.checked_mul(EVENT_BYTES).is_none_or(|size| size > body.len()) {
             return Err(format!("{count} records do not fit into {} bytes", body.len()));
         }
-        Ok(Frame { clock: f64_at(header, 8), count, body })
+        Ok(Frame { clock_s: f64_at(header, 8), count, body })
     }
 
     pub fn records(&self) -> impl Iterator<Item = &[u8]> {
@@ -126,7 +147,8 @@
         self.tail.clear();
     }
 
-    /// Appends a record: its code, the router instance, then the fields in order, padded with zeros.
+    /// Appends a record: its code, the number of the router instance, then the fields in order, padded with
+    /// zeros.
     pub fn push(&mut self, code: u8, router: u32, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code);
--- a/crates/adapter/tests/pipe.rs
+++ b/crates/adapter/tests/pipe.rs
@@ -1,4 +1,5 @@
-//! Runs the adapter as a process: frames on standard input, replies on standard output.
+//! Runs the adapter as a process: frames on standard input, replies on standard output. Codes and offsets are
+//! written as numbers; `src/wire.rs` and `src/instance.rs` name them.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -48,6 +49,7 @@
         self.event(code, &fields)
     }
 
+    /// Starts router 3.
     fn spawn(self, settings: &str) -> Batch {
         let length = settings.len() as u32;
         self.event_with_tail(18, &[(1, &[3, 0, 0, 0]), (5, &[9])], 13, settings.as_bytes(), length)
@@ -67,9 +69,9 @@
         stored.event(22, &[(1, &[3, 0, 0, 0]), (5, &[2]), (14, &[2, 0])])
     }
 
-    fn submit(self, op: u8, kind: u8) -> Batch {
+    fn submit(self, op: u8, op_type: u8) -> Batch {
         let timeout_s = 1f64.to_le_bytes();
-        self.event(16, &[(1, &[3, 0, 0, 0]), (5, &[op]), (13, &[kind]), (27, &timeout_s)])
+        self.event(16, &[(1, &[3, 0, 0, 0]), (5, &[op]), (13, &[op_type]), (27, &timeout_s)])
     }
 
     fn frame(&self) -> Vec<u8> {
@@ -136,7 +138,7 @@
 }
 
 #[test]
-fn an_op_is_sent_to_a_listed_host_and_its_error_is_retried() {
+fn ops_are_sent_to_listed_hosts_and_a_failed_write_is_not_sent_again() {
     let first = Batch::default().spawn(SETTINGS).list(&[1, 2]).submit(7, 0).submit(8, 1);
     let end = Batch::default().event(19, &[(1, &[3, 0, 0, 0]), (5, &[8]), (13, &[1]), (29, &[1])]);
     let output = run(&[first.frame(), end.frame()].concat());
