--- a/crates/terms/src/settings.rs
+++ b/crates/terms/src/settings.rs
@@ -7,7 +7,7 @@
 /// Options of the adapter around the policy: how ops and reports on the wire are interpreted, and connection
 /// timeouts.
 pub struct AdapterOptions {
-    /// Added to log positions that hosts state relative to an origin.
+    /// Point in time to which the log positions that hosts state are relative.
     pub position_origin_ms: f64,
     /// Ops state when their session last wrote; otherwise the router tracks the writes of sessions itself.
     pub clients_report_writes: bool,
@@ -59,7 +59,7 @@
         "single_shot" => Retryability::NonRetryable,
         other => return Err(format!("settings key 'effect' has the unknown value '{other}'")),
     };
-    // The setting has an entry for every op type; it only applies to bounded reads.
+    // The setting has an entry for every op type, but applies to bounded reads only.
     let staleness_bound_ms = if consistency == Consistency::Bounded {
         seconds_to_ms("extra.staleness_bound_s", bound_s)?
     } else {
--- a/crates/terms/src/tier.rs
+++ b/crates/terms/src/tier.rs
@@ -13,11 +13,11 @@
     pub key: Option<Vec<u8>>,
     /// Interval between probes of members.
     pub probe_period_ms: f64,
-    /// Members that new facts are sent to at once.
+    /// Number of members to which new facts are sent immediately, in urgent datagrams.
     pub fanout: usize,
-    /// Such urgent datagrams that may be sent together.
+    /// Number of urgent datagrams that may be sent in one burst.
     pub urgent_burst: f64,
-    /// Such urgent datagrams per second beyond the burst.
+    /// Rate of urgent datagrams beyond the burst.
     pub urgent_per_second: f64,
     /// Other routers that must report a host as unresponsive before it counts as such.
     pub unresponsive_quorum: usize,
@@ -103,10 +103,11 @@
         zone_evidence: optional(root, "zone_evidence", Value::as_bool, false)?,
         pull_facts: optional(root, "pull_facts", Value::as_bool, false)?,
     };
-    let silence = magpiewell_zones::Limits::for_probe_period(options.probe_period_ms, f64::INFINITY).silence;
-    if options.zone_evidence && silence > magpiewell_zones::Age::MAX_SILENCE_MS {
+    let silence_ms =
+        magpiewell_zones::Limits::for_probe_period(options.probe_period_ms, f64::INFINITY).silence;
+    if options.zone_evidence && silence_ms > magpiewell_zones::Age::MAX_SILENCE_MS {
         return Err(format!(
-            "settings key 'period_ms' is too long for 'zone_evidence': {} means {silence} ms of silence, \
+            "settings key 'period_ms' is too long for 'zone_evidence': {} means {silence_ms} ms of silence, \
              at most {}",
             options.probe_period_ms,
             magpiewell_zones::Age::MAX_SILENCE_MS
