--- a/crates/pg/src/statement.rs
+++ b/crates/pg/src/statement.rs
@@ -3,7 +3,8 @@
 
 use std::ops::Range;
 
-/// A parsed statement: the ranges of its key without the quotes and of the comment's content.
+/// A parsed statement: whether it writes, and the ranges of its key without the quotes and of the comment's
+/// content.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
     pub writes: bool,
