--- a/crates/facts/src/fact.rs
+++ b/crates/facts/src/fact.rs
@@ -12,8 +12,8 @@
 pub enum Observation {
     /// The host answered as the group's primary.
     Primary { group: GroupKey, host: HostKey },
-    /// The replica was this many ms behind its log.
-    ReplicaLag { host: HostKey, ms: u32 },
+    /// The replica was this many ms behind the primary's log.
+    ReplicaLag { host: HostKey, lag_ms: u32 },
     /// The host did not respond: a probe was not answered, or sends were overtaken by later ones.
     Unresponsive { host: HostKey },
     /// This many reads took this percentage of the host's usual op latency.
--- a/crates/facts/src/store.rs
+++ b/crates/facts/src/store.rs
@@ -16,8 +16,7 @@
 /// The lag of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaLag {
-    /// The lag in ms.
-    pub ms: f64,
+    pub lag_ms: f64,
     /// When it was observed, in Unix ms.
     pub observed_at: f64,
 }
@@ -67,10 +66,10 @@
         replica_lag.chain(unresponsive_reports).chain(slow_reads).fold(f64::NEG_INFINITY, f64::max)
     }
 
-    fn merge_replica_lag(&mut self, stamp: Stamp, ms: u32) -> bool {
+    fn merge_replica_lag(&mut self, stamp: Stamp, lag_ms: u32) -> bool {
         let is_new = self.replica_lag.is_none_or(|entry| stamp.is_later_than(&entry.stamp));
         if is_new {
-            self.replica_lag = Some(Stamped { stamp, value: ms });
+            self.replica_lag = Some(Stamped { stamp, value: lag_ms });
         }
         is_new
     }
@@ -90,8 +89,8 @@
         let stamp = Stamp { observed_at: fact.observed_at, origin: fact.origin };
         match fact.observation {
             Observation::Primary { group, host } => self.merge_primary(stamp, group, host, limits),
-            Observation::ReplicaLag { host, ms } => {
-                self.merge_host(host, limits, |entry| entry.merge_replica_lag(stamp, ms))
+            Observation::ReplicaLag { host, lag_ms } => {
+                self.merge_host(host, limits, |entry| entry.merge_replica_lag(stamp, lag_ms))
             }
             Observation::Unresponsive { host } => self.merge_host(host, limits, |entry| {
                 entry.unresponsive_reports.merge(Stamped { stamp, value: () }, limits.max_origins)
@@ -167,8 +166,8 @@
 
     pub fn replica_lag(&self, now: f64, host: HostKey, limits: &Limits) -> Option<ReplicaLag> {
         let entry = self.hosts.get(&host)?.replica_lag?;
-        let (ms, observed_at) = (f64::from(entry.value), entry.stamp.observed_at);
-        (now - observed_at <= limits.replica_lag_lifetime).then_some(ReplicaLag { ms, observed_at })
+        let (lag_ms, observed_at) = (f64::from(entry.value), entry.stamp.observed_at);
+        (now - observed_at <= limits.replica_lag_lifetime).then_some(ReplicaLag { lag_ms, observed_at })
     }
 
     /// How many routers other than `local` recently reported the host as unresponsive.
--- a/crates/facts/src/tests.rs
+++ b/crates/facts/src/tests.rs
@@ -13,7 +13,7 @@
 fn fact() -> impl Strategy<Value = Fact> {
     let observation = prop_oneof![
         (0u32..3, 0u32..4).prop_map(|(group, host)| Observation::Primary { group, host }),
-        (0u32..4, 0u32..5_000).prop_map(|(host, ms)| Observation::ReplicaLag { host, ms }),
+        (0u32..4, 0u32..5_000).prop_map(|(host, lag_ms)| Observation::ReplicaLag { host, lag_ms }),
         (0u32..4).prop_map(|host| Observation::Unresponsive { host }),
         (0u32..4, 0u16..900, 1u16..9).prop_map(|(host, latency_percent, reads)| Observation::Slow {
             host,
@@ -55,7 +55,7 @@
     for number in 0..5u32 {
         let now = f64::from(number);
         facts.observe(now, Observation::Primary { group: number, host: number });
-        facts.observe(now, Observation::ReplicaLag { host: number, ms: 1 });
+        facts.observe(now, Observation::ReplicaLag { host: number, lag_ms: 1 });
     }
     let Sizes { groups, hosts, evicted, .. } = facts.sizes();
     assert_eq!((groups, hosts, evicted), (3, 2, 5));
@@ -157,7 +157,7 @@
         for (key, origin, offset, kind) in all {
             let observation = match kind {
                 0 => Observation::Primary { group: key, host: key },
-                1 => Observation::ReplicaLag { host: key, ms: key },
+                1 => Observation::ReplicaLag { host: key, lag_ms: key },
                 2 => Observation::Unresponsive { host: key % 11 },
                 _ => Observation::Slow { host: key % 11, latency_percent: origin, reads: origin },
             };
--- a/crates/peers/src/tier.rs
+++ b/crates/peers/src/tier.rs
@@ -155,7 +155,7 @@
 fn encode_fact(fact: &Fact, bytes: &mut Vec<u8>) {
     let (kind, subject, value) = match fact.observation {
         Observation::Primary { group, host } => (ENTRY_PRIMARY, group, host),
-        Observation::ReplicaLag { host, ms } => (ENTRY_REPLICA_LAG, host, ms),
+        Observation::ReplicaLag { host, lag_ms } => (ENTRY_REPLICA_LAG, host, lag_ms),
         Observation::Unresponsive { host } => (ENTRY_UNRESPONSIVE, host, 0),
         Observation::Slow { host, latency_percent, reads } => {
             (ENTRY_SLOW, host, u32::from(latency_percent) << 16 | u32::from(reads))
@@ -299,7 +299,7 @@
     let value = read_number(&entry[FACT_VALUE]) as u32;
     let observation = match entry[ENTRY_KIND] {
         ENTRY_PRIMARY => Observation::Primary { group: subject, host: value },
-        ENTRY_REPLICA_LAG => Observation::ReplicaLag { host: subject, ms: value },
+        ENTRY_REPLICA_LAG => Observation::ReplicaLag { host: subject, lag_ms: value },
         ENTRY_UNRESPONSIVE => Observation::Unresponsive { host: subject },
         ENTRY_SLOW => {
             Observation::Slow { host: subject, latency_percent: (value >> 16) as u16, reads: value as u16 }
--- a/crates/peers/src/tier/tests.rs
+++ b/crates/peers/src/tier/tests.rs
@@ -28,7 +28,7 @@
 fn fact() -> impl Strategy<Value = Fact> {
     let observation = prop_oneof![
         (any::<u32>(), any::<u32>()).prop_map(|(group, host)| Observation::Primary { group, host }),
-        (any::<u32>(), any::<u32>()).prop_map(|(host, ms)| Observation::ReplicaLag { host, ms }),
+        (any::<u32>(), any::<u32>()).prop_map(|(host, lag_ms)| Observation::ReplicaLag { host, lag_ms }),
         any::<u32>().prop_map(|host| Observation::Unresponsive { host }),
         (any::<u32>(), any::<u16>(), any::<u16>())
             .prop_map(|(host, latency_percent, reads)| Observation::Slow { host, latency_percent, reads }),
--- a/crates/router/src/observer.rs
+++ b/crates/router/src/observer.rs
@@ -124,7 +124,7 @@
             return None;
         }
         replica.reported_at = now;
-        Some(Observation::ReplicaLag { host: host.key, ms: lag_ms.min(f64::from(u32::MAX)) as u32 })
+        Some(Observation::ReplicaLag { host: host.key, lag_ms: lag_ms.min(f64::from(u32::MAX)) as u32 })
     }
 }
 
--- a/crates/router/src/observer/tests.rs
+++ b/crates/router/src/observer/tests.rs
@@ -17,7 +17,7 @@
     let host_1_is_primary = Observation::Primary { group: 7, host: 11 };
     assert_eq!(record(0.0, 1, primary, 0.0), Some(host_1_is_primary));
     assert_eq!(record(1.0, 1, primary, 0.0), None);
-    let lag = |ms| Some(Observation::ReplicaLag { host: 12, ms });
+    let lag = |lag_ms| Some(Observation::ReplicaLag { host: 12, lag_ms });
     assert_eq!(record(2.0, 2, replica, 20.0), None);
     assert_eq!(record(3.0, 2, replica, 300.0), lag(300));
     assert_eq!(record(500.0, 2, replica, 600.0), None);
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -452,8 +452,8 @@
                 magpiewell_tier::PeerFact::Primary { host, observed_at: at, .. } => {
                     (host, PeerReport::Primary { at })
                 }
-                magpiewell_tier::PeerFact::ReplicaLag { host, ms, observed_at: at } => {
-                    (host, PeerReport::ReplicaLag { lag_ms: ms, at })
+                magpiewell_tier::PeerFact::ReplicaLag { host, lag_ms, observed_at: at } => {
+                    (host, PeerReport::ReplicaLag { lag_ms, at })
                 }
                 magpiewell_tier::PeerFact::Unresponsive { host } => (host, PeerReport::Unresponsive),
                 magpiewell_tier::PeerFact::Members { zone_shares, .. }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -228,8 +228,8 @@
         let observed_at = fact.observed_at;
         match fact.observation {
             Observation::Primary { group, host } => Some(PeerFact::Primary { group, host, observed_at }),
-            Observation::ReplicaLag { host, ms } => {
-                Some(PeerFact::ReplicaLag { host, ms: f64::from(ms), observed_at })
+            Observation::ReplicaLag { host, lag_ms } => {
+                Some(PeerFact::ReplicaLag { host, lag_ms: f64::from(lag_ms), observed_at })
             }
             Observation::Unresponsive { host } => {
                 let reports = self.facts.unresponsive_reports(now, host);
--- a/crates/tier/src/output.rs
+++ b/crates/tier/src/output.rs
@@ -18,8 +18,8 @@
 pub enum PeerFact {
     /// The host that was last observed as the group's primary, and when.
     Primary { group: GroupKey, host: HostKey, observed_at: f64 },
-    /// A replica's lag in ms, and when it was observed.
-    ReplicaLag { host: HostKey, ms: f64, observed_at: f64 },
+    /// How far a replica was behind the primary's log, and when this was observed.
+    ReplicaLag { host: HostKey, lag_ms: f64, observed_at: f64 },
     /// A quorum of other routers reported that a host does not answer.
     Unresponsive { host: HostKey },
     /// Other routers' reads of a host took `ratio` times as long as usual, measured over `reads` reads.
