--- a/crates/facts/src/fact.rs
+++ b/crates/facts/src/fact.rs
@@ -32,18 +32,18 @@
 
 impl Observation {
     /// How long the observation is valid, in ms.
-    fn lifetime(&self, limits: &Limits) -> f64 {
+    fn lifetime_ms(&self, limits: &Limits) -> f64 {
         match self {
-            Observation::Primary { .. } => limits.primary_lifetime,
-            Observation::ReplicaLag { .. } => limits.replica_lag_lifetime,
-            Observation::Unresponsive { .. } | Observation::Slow { .. } => limits.degradation_lifetime,
+            Observation::Primary { .. } => limits.primary_lifetime_ms,
+            Observation::ReplicaLag { .. } => limits.replica_lag_lifetime_ms,
+            Observation::Unresponsive { .. } | Observation::Slow { .. } => limits.degradation_lifetime_ms,
         }
     }
 }
 
 impl Fact {
     pub(crate) fn is_expired(&self, now: f64, limits: &Limits) -> bool {
-        now - self.observed_at > self.observation.lifetime(limits)
+        now - self.observed_at > self.observation.lifetime_ms(limits)
     }
 
     /// Whether a newer fact has the same subject, so that this one need not be sent any more.
--- a/crates/facts/src/latest.rs
+++ b/crates/facts/src/latest.rs
@@ -63,13 +63,18 @@
         self.values.values()
     }
 
-    /// Values of origins other than `local` that were observed within `lifetime`.
-    pub fn recent_of_others(&self, now: f64, lifetime: f64, local: u16) -> impl Iterator<Item = &Stamped<T>> {
+    /// Values of origins other than `local` that were observed within `lifetime_ms`.
+    pub fn recent_of_others(
+        &self,
+        now: f64,
+        lifetime_ms: f64,
+        local: u16,
+    ) -> impl Iterator<Item = &Stamped<T>> {
         self.iter()
-            .filter(move |entry| entry.stamp.origin != local && now - entry.stamp.observed_at <= lifetime)
+            .filter(move |entry| entry.stamp.origin != local && now - entry.stamp.observed_at <= lifetime_ms)
     }
 
-    pub fn remove_older(&mut self, now: f64, lifetime: f64) {
-        self.values.retain(|_, entry| now - entry.stamp.observed_at <= lifetime);
+    pub fn remove_older(&mut self, now: f64, lifetime_ms: f64) {
+        self.values.retain(|_, entry| now - entry.stamp.observed_at <= lifetime_ms);
     }
 }
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -77,7 +77,7 @@
 
     /// Merges a fact received from another router, and queues it for forwarding if it is new.
     pub fn receive(&mut self, now: f64, fact: Fact) -> Received {
-        let is_in_future = fact.observed_at > now + self.limits.max_clock_skew;
+        let is_in_future = fact.observed_at > now + self.limits.max_clock_skew_ms;
         if !fact.observed_at.is_finite() || is_in_future || fact.is_expired(now, &self.limits) {
             return Received::Rejected;
         }
@@ -105,7 +105,7 @@
     /// Whether this router learned a new primary recently: others may have changed that it has not learned
     /// yet.
     pub fn should_pull(&self, now: f64) -> bool {
-        now - self.primary_learned_at <= self.limits.pull_window
+        now - self.primary_learned_at <= self.limits.pull_window_ms
     }
 
     /// A digest of the recently observed primaries, for a request to another router to send the missing ones.
--- a/crates/facts/src/limits.rs
+++ b/crates/facts/src/limits.rs
@@ -10,17 +10,17 @@
     /// Origins whose reports of a host as unresponsive, and likewise as slow, are stored.
     pub max_origins: usize,
     /// How long an observed primary is valid.
-    pub primary_lifetime: f64,
+    pub primary_lifetime_ms: f64,
     /// Maximum age of the primaries that a digest covers.
-    pub digest_window: f64,
+    pub digest_window_ms: f64,
     /// How long after learning a new primary a router pulls further ones from others.
-    pub pull_window: f64,
+    pub pull_window_ms: f64,
     /// How long an observed replica lag is valid.
-    pub replica_lag_lifetime: f64,
+    pub replica_lag_lifetime_ms: f64,
     /// How long a report of an unresponsive or slow host is valid.
-    pub degradation_lifetime: f64,
+    pub degradation_lifetime_ms: f64,
     /// Maximum clock skew between routers: facts with a timestamp further in the future are rejected.
-    pub max_clock_skew: f64,
+    pub max_clock_skew_ms: f64,
     /// How many times a fact is sent.
     pub transmit_limit: u8,
     /// Facts in the queue to be sent; the first one is dropped when it is full.
@@ -33,12 +33,12 @@
             max_groups: 8_192,
             max_hosts: 16_384,
             max_origins: 4,
-            primary_lifetime: 60_000.0,
-            digest_window: 15_000.0,
-            pull_window: 5_000.0,
-            replica_lag_lifetime: 3_000.0,
-            degradation_lifetime: 4_000.0,
-            max_clock_skew: 1_500.0,
+            primary_lifetime_ms: 60_000.0,
+            digest_window_ms: 15_000.0,
+            pull_window_ms: 5_000.0,
+            replica_lag_lifetime_ms: 3_000.0,
+            degradation_lifetime_ms: 4_000.0,
+            max_clock_skew_ms: 1_500.0,
             transmit_limit: 10,
             max_queued: 256,
         }
--- a/crates/facts/src/store.rs
+++ b/crates/facts/src/store.rs
@@ -148,12 +148,13 @@
     pub fn primary(&self, now: f64, group: GroupKey, limits: &Limits) -> Option<Primary> {
         let entry = self.primaries.get(&group)?;
         let observed_at = entry.stamp.observed_at;
-        (now - observed_at <= limits.primary_lifetime).then_some(Primary { host: entry.value, observed_at })
+        (now - observed_at <= limits.primary_lifetime_ms)
+            .then_some(Primary { host: entry.value, observed_at })
     }
 
     /// The primaries observed within the digest window, in ascending order of their groups.
     pub fn recent_primaries(&self, now: f64, limits: &Limits) -> Vec<Fact> {
-        let is_recent = |entry: &Stamped<HostKey>| now - entry.stamp.observed_at <= limits.digest_window;
+        let is_recent = |entry: &Stamped<HostKey>| now - entry.stamp.observed_at <= limits.digest_window_ms;
         let recent = self.primaries.iter().filter(|(_, entry)| is_recent(entry));
         recent
             .map(|(group, entry)| Fact {
@@ -167,13 +168,13 @@
     pub fn replica_lag(&self, now: f64, host: HostKey, limits: &Limits) -> Option<ReplicaLag> {
         let entry = self.hosts.get(&host)?.replica_lag?;
         let (lag_ms, observed_at) = (f64::from(entry.value), entry.stamp.observed_at);
-        (now - observed_at <= limits.replica_lag_lifetime).then_some(ReplicaLag { lag_ms, observed_at })
+        (now - observed_at <= limits.replica_lag_lifetime_ms).then_some(ReplicaLag { lag_ms, observed_at })
     }
 
     /// How many routers other than `local` recently reported the host as unresponsive.
     pub fn unresponsive_reports(&self, now: f64, host: HostKey, local: u16, limits: &Limits) -> usize {
         let Some(entry) = self.hosts.get(&host) else { return 0 };
-        entry.unresponsive_reports.recent_of_others(now, limits.degradation_lifetime, local).count()
+        entry.unresponsive_reports.recent_of_others(now, limits.degradation_lifetime_ms, local).count()
     }
 
     /// How slow the reads of routers other than `local` were.
@@ -186,7 +187,7 @@
     ) -> Option<LatencyRatio> {
         let entry = self.hosts.get(&host)?;
         let (mut reads, mut sum) = (0.0, 0.0);
-        for slow in entry.slow_reads.recent_of_others(now, limits.degradation_lifetime, local) {
+        for slow in entry.slow_reads.recent_of_others(now, limits.degradation_lifetime_ms, local) {
             let count = f64::from(slow.value.reads);
             reads += count;
             sum += count * f64::from(slow.value.latency_percent) / 100.0;
@@ -196,12 +197,12 @@
 
     pub fn remove_expired(&mut self, now: f64, limits: &Limits) {
         let age = |stamp: Stamp| now - stamp.observed_at;
-        self.primaries.retain(|_, entry| age(entry.stamp) <= limits.primary_lifetime);
+        self.primaries.retain(|_, entry| age(entry.stamp) <= limits.primary_lifetime_ms);
         for host in self.hosts.values_mut() {
             host.replica_lag =
-                host.replica_lag.filter(|entry| age(entry.stamp) <= limits.replica_lag_lifetime);
-            host.unresponsive_reports.remove_older(now, limits.degradation_lifetime);
-            host.slow_reads.remove_older(now, limits.degradation_lifetime);
+                host.replica_lag.filter(|entry| age(entry.stamp) <= limits.replica_lag_lifetime_ms);
+            host.unresponsive_reports.remove_older(now, limits.degradation_lifetime_ms);
+            host.slow_reads.remove_older(now, limits.degradation_lifetime_ms);
         }
         self.hosts.retain(|_, host| *host != Host::default());
     }
--- a/crates/facts/src/tests.rs
+++ b/crates/facts/src/tests.rs
@@ -162,7 +162,7 @@
                 _ => Observation::Slow { host: key % 11, latency_percent: origin, reads: origin },
             };
             let received = facts.receive(NOW, Fact { observation, origin, observed_at: NOW + offset });
-            prop_assert!(offset <= limits.max_clock_skew || received == Received::Rejected);
+            prop_assert!(offset <= limits.max_clock_skew_ms || received == Received::Rejected);
             let Sizes { groups, hosts, queued, .. } = facts.sizes();
             prop_assert!(groups <= 5 && hosts <= 7 && queued <= 9);
             prop_assert!(facts.unresponsive_reports(NOW, key % 11) <= 2);
--- a/crates/fleet/src/router.rs
+++ b/crates/fleet/src/router.rs
@@ -82,7 +82,7 @@
     /// The share of members whose zone this router knows.
     pub fn known_zone_share(&self) -> f64 {
         let Some(map) = self.tier.zone_map() else { return 0.0 };
-        let known = (0..map.roster() as u16).filter(|member| map.zone(*member).is_some()).count();
-        known as f64 / map.roster() as f64
+        let known = (0..map.roster_size() as u16).filter(|member| map.zone(*member).is_some()).count();
+        known as f64 / map.roster_size() as f64
     }
 }
--- a/crates/members/src/health.rs
+++ b/crates/members/src/health.rs
@@ -11,8 +11,8 @@
     }
 
     /// How long a ping waits for its ack, in ms.
-    pub(crate) fn ack_timeout(&self) -> f64 {
-        self.limits.ack_timeout * self.health_multiplier()
+    pub(crate) fn extended_ack_timeout_ms(&self) -> f64 {
+        self.limits.ack_timeout_ms * self.health_multiplier()
     }
 
     /// Records a sign that this router itself is impaired.
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -172,7 +172,7 @@
         if self.left {
             return actions;
         }
-        if elapsed > self.limits.pause_threshold {
+        if elapsed > self.limits.pause_threshold_ms {
             self.resume_after_pause(now, elapsed);
         }
         self.expire_relayed_pings(now);
--- a/crates/members/src/limits.rs
+++ b/crates/members/src/limits.rs
@@ -4,11 +4,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Mean time between two direct probes, in ms.
-    pub probe_period: f64,
+    pub probe_period_ms: f64,
     /// How long a direct probe waits for its ack before indirect probes are requested, in ms; multiplied by
     /// this router's health multiplier. A member that has not answered by the end of the probe period is
     /// suspected.
-    pub ack_timeout: f64,
+    pub ack_timeout_ms: f64,
     /// Members that are asked to probe a member that did not answer the direct probe.
     pub indirect_probes: usize,
     /// Suspicion timeout, in probe periods per power of ten of the number of counted members (at least one
@@ -20,19 +20,19 @@
     /// that the sides of a partition find each other again when it heals.
     pub dead_probe_interval: u32,
     /// Time between two ticks, in ms, beyond which this router's own process is taken to have been paused.
-    pub pause_threshold: f64,
+    pub pause_threshold_ms: f64,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            probe_period: 1_250.0,
-            ack_timeout: 250.0,
+            probe_period_ms: 1_250.0,
+            ack_timeout_ms: 250.0,
             indirect_probes: 3,
             suspicion_multiplier: 3.0,
             retransmit_multiplier: 2.0,
             dead_probe_interval: 4,
-            pause_threshold: 400.0,
+            pause_threshold_ms: 400.0,
         }
     }
 }
--- a/crates/members/src/probe.rs
+++ b/crates/members/src/probe.rs
@@ -44,7 +44,7 @@
     /// Asks other members to ping the target if its ack is overdue.
     pub(crate) fn request_indirect_pings(&mut self, now: f64, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending_ping else { return };
-        if pending.indirect || now - pending.sent_at < self.ack_timeout() {
+        if pending.indirect || now - pending.sent_at < self.extended_ack_timeout_ms() {
             return;
         }
         self.pending_ping = Some(PendingPing { indirect: true, ..pending });
@@ -68,13 +68,13 @@
         // Jitter of a quarter in either direction, so that routers started together do not probe in lockstep.
         let jitter = 0.75 + (self.random.next() % 1_000) as f64 / 2_000.0;
         let stretch = if self.health_penalty > 0 { UNHEALTHY_PERIOD_FACTOR } else { 1.0 };
-        self.next_probe_at = now + self.limits.probe_period * jitter * stretch;
+        self.next_probe_at = now + self.limits.probe_period_ms * jitter * stretch;
     }
 
     /// Suspects the target of the outstanding ping if its ack is overdue.
     fn suspect_unanswered(&mut self, now: f64) {
         let Some(pending) = self.pending_ping.take() else { return };
-        if now - pending.sent_at < self.ack_timeout() {
+        if now - pending.sent_at < self.extended_ack_timeout_ms() {
             return;
         }
         if self.suspect(now, pending.target) {
@@ -143,7 +143,7 @@
             return;
         }
         let number = self.next_ping_number();
-        let expires_at = now + self.limits.probe_period;
+        let expires_at = now + self.limits.probe_period_ms;
         self.relayed_pings.push(RelayedPing { number, target, requester, requester_number, expires_at });
         actions.push(Action::Send { to: target, message: Message::Ping { number } });
     }
--- a/crates/members/src/suspicion.rs
+++ b/crates/members/src/suspicion.rs
@@ -20,19 +20,19 @@
 
 impl Members {
     /// How long after a suspicion its member is declared dead, in ms, while this router is healthy.
-    pub fn suspicion_timeout(&self) -> f64 {
+    pub fn suspicion_timeout_ms(&self) -> f64 {
         let counted = self.counted_size() as f64;
         let powers_of_ten = counted.max(2.0).log10().max(1.0);
-        self.limits.suspicion_multiplier * powers_of_ten * self.limits.probe_period
+        self.limits.suspicion_multiplier * powers_of_ten * self.limits.probe_period_ms
     }
 
     /// An upper bound, in ms, of the time from a member's death until this router declares it dead, even
     /// without updates from others: a round of probes and the longest suspicion. Simulated tiers in tests
     /// rely on this bound.
-    pub fn detection_bound(&self) -> f64 {
+    pub fn detection_bound_ms(&self) -> f64 {
         let round = 2.0 * self.roster.len() as f64 + 2.0;
-        let longest_suspicion = self.suspicion_timeout() * f64::from(1 + MAX_HEALTH_PENALTY);
-        round * self.limits.probe_period * UNHEALTHY_PERIOD_FACTOR + longest_suspicion
+        let longest_suspicion = self.suspicion_timeout_ms() * f64::from(1 + MAX_HEALTH_PENALTY);
+        round * self.limits.probe_period_ms * UNHEALTHY_PERIOD_FACTOR + longest_suspicion
     }
 
     /// Suspects a member that did not answer, unless its whole group is silent. Returns whether a new
@@ -51,7 +51,7 @@
 
     /// Declares members dead that did not refute this router's own suspicion in time.
     pub(crate) fn expire_suspicions(&mut self, now: f64) {
-        let timeout = self.suspicion_timeout() * self.health_multiplier();
+        let timeout = self.suspicion_timeout_ms() * self.health_multiplier();
         let mut suspicions = std::mem::take(&mut self.suspicions);
         // A suspicion is obsolete if the member refuted it, is known to be dead or to have left, or is in a
         // silent group.
@@ -75,9 +75,9 @@
         let Some(own) = due.min_by(|a, b| a.next_ping_at.total_cmp(&b.next_ping_at)) else { return };
         // Allows an ack timeout for each direction. A suspicion then lasts for some twenty pings, and one
         // answer is enough to refute it.
-        own.next_ping_at = now + 2.0 * self.limits.ack_timeout;
+        own.next_ping_at = now + 2.0 * self.limits.ack_timeout_ms;
         let to = own.member;
-        self.next_suspect_ping_at = now + self.limits.ack_timeout;
+        self.next_suspect_ping_at = now + self.limits.ack_timeout_ms;
         let message = self.ping();
         actions.push(Action::SendToSuspect { to, message });
     }
--- a/crates/members/src/tests.rs
+++ b/crates/members/src/tests.rs
@@ -140,7 +140,7 @@
         // Less than 1 % of 60 samples of 870 believed states each.
         assert!(false_deaths < 522, "{false_deaths}");
         (0..21).for_each(|id| tier.members[id] = None);
-        tier.run(tier.members[25].as_ref().unwrap().detection_bound());
+        tier.run(tier.members[25].as_ref().unwrap().detection_bound_ms());
         for dead in 0..21 {
             assert!(tier.views(dead).iter().all(|s| *s == State::Dead), "{dead}");
         }
@@ -243,7 +243,7 @@
         let to_suspects = |action: &Action| matches!(action, Action::SendToSuspect { .. });
         pings += members.tick(now).iter().filter(|action| to_suspects(action)).count();
     }
-    let max_pings = end / limits.ack_timeout;
+    let max_pings = end / limits.ack_timeout_ms;
     assert!(
         members.suspicions.len() > 2 && pings > 50 && pings as f64 <= max_pings,
         "{pings} of {max_pings}"
--- a/crates/router/src/tier.rs
+++ b/crates/router/src/tier.rs
@@ -119,9 +119,9 @@
         pull_period_ms: options.probe_period_ms / PULLS_PER_PROBE_PERIOD,
         ..Limits::default()
     };
-    limits.members.probe_period = options.probe_period_ms;
-    limits.members.ack_timeout = options.probe_period_ms / ACK_TIMEOUTS_PER_PROBE_PERIOD;
-    limits.members.pause_threshold = tick.as_secs_f64() * 1_000.0 * PAUSE_THRESHOLD_TICKS;
+    limits.members.probe_period_ms = options.probe_period_ms;
+    limits.members.ack_timeout_ms = options.probe_period_ms / ACK_TIMEOUTS_PER_PROBE_PERIOD;
+    limits.members.pause_threshold_ms = tick.as_secs_f64() * 1_000.0 * PAUSE_THRESHOLD_TICKS;
     limits
 }
 
--- a/crates/sessions/src/requests.rs
+++ b/crates/sessions/src/requests.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// A request without a reply is retried after this time.
-    pub retry_interval: f64,
+    pub retry_interval_ms: f64,
     /// How often a request is sent in total.
     pub max_attempts: u32,
     /// A peer is silent once it has missed this many requests in a row.
     pub max_misses: u32,
     /// Silent peers are pinged at this interval.
-    pub ping_interval: f64,
+    pub ping_interval_ms: f64,
     /// Requests sent to peers per second; beyond it reads are fresh at once. A tenth of it may be sent at
     /// once.
     pub requests_per_second: f64,
@@ -36,10 +36,10 @@
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            retry_interval: 4.0,
+            retry_interval_ms: 4.0,
             max_attempts: 6,
             max_misses: 3,
-            ping_interval: 250.0,
+            ping_interval_ms: 250.0,
             requests_per_second: 20_000.0,
             max_waiting_reads: 4_096,
         }
@@ -148,7 +148,7 @@
     /// When [`PositionRequests::tick`] is due next; none while no read waits and no peer is silent.
     pub fn next_tick_at(&self, now: f64) -> Option<f64> {
         let retry = self.retries.first().map(|(due, _)| *due as f64);
-        let ping = (self.silent_peers() > 0).then_some(now + self.limits.ping_interval);
+        let ping = (self.silent_peers() > 0).then_some(now + self.limits.ping_interval_ms);
         match (retry, ping) {
             (Some(retry), Some(ping)) => Some(retry.min(ping)),
             (retry, ping) => retry.or(ping),
@@ -174,7 +174,7 @@
         let request = self.next_request;
         self.next_request = self.next_request.wrapping_add(1);
         let unanswered: PeerSet = (0..self.peers.len()).collect();
-        let retry_at = now + self.limits.retry_interval;
+        let retry_at = now + self.limits.retry_interval_ms;
         self.retries.insert((whole_ms(retry_at), request));
         let waiting =
             WaitingRead { read, session, position: own_position, unanswered, attempts: 1, retry_at };
@@ -253,7 +253,7 @@
     fn retry(&mut self, now: f64, request: u64, actions: &mut Vec<Action>) {
         let Some(waiting) = self.waiting.get_mut(&request) else { return };
         waiting.attempts += 1;
-        waiting.retry_at = now + self.limits.retry_interval;
+        waiting.retry_at = now + self.limits.retry_interval_ms;
         self.retries.insert((whole_ms(waiting.retry_at), request));
         let session = waiting.session;
         actions.extend(waiting.unanswered.iter().map(|peer| Action::Request { peer, request, session }));
@@ -261,7 +261,7 @@
 
     fn ping_silent_peers(&mut self, now: f64, actions: &mut Vec<Action>) {
         for peer in self.silent_set().iter() {
-            let is_due = |pinged_at| now >= pinged_at + self.limits.ping_interval;
+            let is_due = |pinged_at| now >= pinged_at + self.limits.ping_interval_ms;
             if self.peers[peer].pinged_at.is_none_or(is_due) {
                 self.peers[peer].pinged_at = Some(now);
                 actions.push(Action::Ping { peer });
--- a/crates/terms/src/tier.rs
+++ b/crates/terms/src/tier.rs
@@ -103,10 +103,11 @@
         zone_evidence: optional(root, "zone_evidence", Value::as_bool, false)?,
         pull_facts: optional(root, "pull_facts", Value::as_bool, false)?,
     };
-    let silence = magpiewell_zones::Limits::for_probe_period(options.probe_period_ms, f64::INFINITY).silence;
-    if options.zone_evidence && silence > magpiewell_zones::Age::MAX_SILENCE_MS {
+    let silence_ms =
+        magpiewell_zones::Limits::for_probe_period(options.probe_period_ms, f64::INFINITY).silent_after_ms;
+    if options.zone_evidence && silence_ms > magpiewell_zones::Age::MAX_SILENCE_MS {
         return Err(format!(
-            "settings key 'period_ms' is too long for 'zone_evidence': {} means {silence} ms of silence, \
+            "settings key 'period_ms' is too long for 'zone_evidence': {} means {silence_ms} ms of silence, \
              at most {}",
             options.probe_period_ms,
             magpiewell_zones::Age::MAX_SILENCE_MS
--- a/crates/tier/src/zones.rs
+++ b/crates/tier/src/zones.rs
@@ -4,7 +4,7 @@
 use magpiewell_members::GroupStatus;
 use magpiewell_peers::tier::{Datagram, NO_ZONE};
 use magpiewell_zones::Limits as ZoneLimits;
-use magpiewell_zones::{Change, MapBatch, MapChunk, Reachability, ZoneEvidence, ZoneMap};
+use magpiewell_zones::{MapBatch, MapChunk, Reachability, ReachabilityChange, ZoneEvidence, ZoneMap};
 
 /// A member's request for a batch of the zone map, answered with the next datagram to it.
 #[derive(Clone, Copy, Debug)]
@@ -21,9 +21,9 @@
     roster: usize,
     now: f64,
 ) -> Option<ZoneEvidence> {
-    let limits = limits
-        .zone_evidence
-        .then(|| ZoneLimits::for_probe_period(limits.members.probe_period, limits.members.pause_threshold))?;
+    let limits = limits.zone_evidence.then(|| {
+        ZoneLimits::for_probe_period(limits.members.probe_period_ms, limits.members.pause_threshold_ms)
+    })?;
     let mut map = ZoneMap::new(roster, usize::from(local));
     if let Some(zone) = zone {
         map.learn_from_member(local, zone);
@@ -59,7 +59,7 @@
     pub(crate) fn tick_zones(&mut self, now: f64, output: &mut Output) {
         let Some(evidence) = &mut self.evidence else { return };
         let changes = evidence.tick(now);
-        let zone_change = |change: &Change| ZoneChange {
+        let zone_change = |change: &ReachabilityChange| ZoneChange {
             zone: change.zone,
             reachability: change.reachability,
             members: evidence.map().size(change.zone),
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -2,40 +2,41 @@
 
 use crate::{Age, Ages, MAX_ZONES, MapBatch, MapChunk, ZoneMap};
 
-/// Times in ms.
+/// Time limits and rates of the zone failure detector.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// A zone without a sign of life for this long is silent.
-    pub silence: f64,
-    /// A zone whose latest sign of life is older than this is also pinged directly.
-    pub direct_after: f64,
-    /// The shortest interval between two direct pings of this router.
-    pub direct_period: f64,
-    /// About how many direct pings a second all routers together send to each member of such a zone.
-    pub direct_per_member: f64,
+    pub silent_after_ms: f64,
+    /// Once a zone's latest sign of life is this old, the zone is stale, and its members are also pinged
+    /// directly.
+    pub direct_ping_after_ms: f64,
+    /// The shortest interval between two direct pings that this router sends.
+    pub direct_ping_interval_ms: f64,
+    /// About how many direct pings a second each member of a stale zone gets from all routers together.
+    pub direct_pings_per_second: f64,
     /// While the zones of some members are unknown, another router is asked for a part of the map at this
     /// interval.
-    pub map_request_period: f64,
+    pub map_request_interval_ms: f64,
     /// A tick that comes later than this shows that this router itself was stopped.
-    pub pause_threshold: f64,
+    pub pause_threshold_ms: f64,
 }
 
 impl Limits {
     /// Limits derived from how often a router probes another: an update reaches a fleet of thousands in under
     /// six periods.
-    pub fn for_probe_period(period: f64, pause_threshold: f64) -> Limits {
-        const SILENCE_PERIODS: f64 = 6.0;
-        const DIRECT_AFTER_PERIODS: f64 = 2.0;
-        const DIRECT_PER_PERIOD: f64 = 3.0;
-        const DIRECT_PER_MEMBER: f64 = 8.0;
+    pub fn for_probe_period(probe_period_ms: f64, pause_threshold_ms: f64) -> Limits {
+        const SILENT_AFTER_PERIODS: f64 = 6.0;
+        const DIRECT_PING_AFTER_PERIODS: f64 = 2.0;
+        const DIRECT_PINGS_PER_PERIOD: f64 = 3.0;
+        const DIRECT_PINGS_PER_SECOND: f64 = 8.0;
         const MAP_REQUESTS_PER_PERIOD: f64 = 5.0;
         Limits {
-            silence: SILENCE_PERIODS * period,
-            direct_after: DIRECT_AFTER_PERIODS * period,
-            direct_period: period / DIRECT_PER_PERIOD,
-            direct_per_member: DIRECT_PER_MEMBER,
-            map_request_period: period / MAP_REQUESTS_PER_PERIOD,
-            pause_threshold,
+            silent_after_ms: SILENT_AFTER_PERIODS * probe_period_ms,
+            direct_ping_after_ms: DIRECT_PING_AFTER_PERIODS * probe_period_ms,
+            direct_ping_interval_ms: probe_period_ms / DIRECT_PINGS_PER_PERIOD,
+            direct_pings_per_second: DIRECT_PINGS_PER_SECOND,
+            map_request_interval_ms: probe_period_ms / MAP_REQUESTS_PER_PERIOD,
+            pause_threshold_ms,
         }
     }
 }
@@ -55,7 +56,7 @@
 
 /// A change of a zone's reachability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct ReachabilityChange {
     pub zone: usize,
     pub reachability: Reachability,
 }
@@ -71,9 +72,9 @@
     reachability: [Reachability; MAX_ZONES],
     /// No zone becomes silent before this time: this router has just started, or was stopped.
     trusted_from: f64,
-    ticked_at: Option<f64>,
-    direct_at: f64,
-    map_request_at: f64,
+    last_tick_at: Option<f64>,
+    next_direct_ping_at: f64,
+    next_map_request_at: f64,
 }
 
 impl ZoneEvidence {
@@ -85,10 +86,10 @@
             map,
             last_seen_at: [None; MAX_ZONES],
             reachability: [Reachability::default(); MAX_ZONES],
-            trusted_from: now + limits.silence,
-            ticked_at: None,
-            direct_at: now,
-            map_request_at: now,
+            trusted_from: now + limits.silent_after_ms,
+            last_tick_at: None,
+            next_direct_ping_at: now,
+            next_map_request_at: now,
         }
     }
 
@@ -98,10 +99,10 @@
 
     /// The part of the zone map to request from another router now, if a request is due.
     pub fn map_request(&mut self, now: f64) -> Option<MapBatch> {
-        if now < self.map_request_at {
+        if now < self.next_map_request_at {
             return None;
         }
-        self.map_request_at = now + self.limits.map_request_period;
+        self.next_map_request_at = now + self.limits.map_request_interval_ms;
         self.map.next_unknown_batch()
     }
 
@@ -159,12 +160,12 @@
     }
 
     /// Advances the time and returns the changes of reachability; to be called several times a second.
-    pub fn tick(&mut self, now: f64) -> Vec<Change> {
-        let since_tick = self.ticked_at.map_or(0.0, |at| now - at);
-        self.ticked_at = Some(now);
-        if since_tick > self.limits.pause_threshold || since_tick < 0.0 {
+    pub fn tick(&mut self, now: f64) -> Vec<ReachabilityChange> {
+        let since_tick = self.last_tick_at.map_or(0.0, |at| now - at);
+        self.last_tick_at = Some(now);
+        if since_tick > self.limits.pause_threshold_ms || since_tick < 0.0 {
             // Nothing could be received while this router was stopped: that is no evidence against others.
-            self.trusted_from = now + self.limits.silence;
+            self.trusted_from = now + self.limits.silent_after_ms;
         }
         let silent_reachability = self.silent_reachability(now);
         (0..MAX_ZONES).filter_map(|zone| self.update(zone, now, silent_reachability)).collect()
@@ -174,7 +175,7 @@
     fn silent_reachability(&self, now: f64) -> Reachability {
         let silent: usize =
             (0..MAX_ZONES).filter(|zone| self.is_silent(*zone, now)).map(|zone| self.map.size(zone)).sum();
-        if 2 * silent < self.map.roster() { Reachability::LostOrCutOff } else { Reachability::CutOff }
+        if 2 * silent < self.map.roster_size() { Reachability::LostOrCutOff } else { Reachability::CutOff }
     }
 
     fn is_silent(&self, zone: usize, now: f64) -> bool {
@@ -190,10 +191,15 @@
     }
 
     fn is_fresh(&self, zone: usize, now: f64) -> bool {
-        self.last_seen_at[zone].is_some_and(|at| now - at < self.limits.silence)
+        self.last_seen_at[zone].is_some_and(|at| now - at < self.limits.silent_after_ms)
     }
 
-    fn update(&mut self, zone: usize, now: f64, silent_reachability: Reachability) -> Option<Change> {
+    fn update(
+        &mut self,
+        zone: usize,
+        now: f64,
+        silent_reachability: Reachability,
+    ) -> Option<ReachabilityChange> {
         let reachability =
             if self.is_silent(zone, now) { silent_reachability } else { Reachability::Reachable };
         let current = &mut self.reachability[zone];
@@ -201,29 +207,29 @@
             return None;
         }
         *current = reachability;
-        Some(Change { zone, reachability })
+        Some(ReachabilityChange { zone, reachability })
     }
 
-    /// Whether the latest sign of life of a member's zone is older than `direct_after`: datagrams to it may
-    /// be lost.
+    /// Whether the latest sign of life of a member's zone is at least [`Limits::direct_ping_after_ms`] old:
+    /// datagrams to it may be lost.
     pub fn is_in_stale_zone(&self, now: f64, member: u16) -> bool {
         let Some(zone) = self.map.zone(member) else { return false };
-        let is_old = self.last_seen_at[zone].is_some_and(|at| now - at >= self.limits.direct_after);
+        let is_old = self.last_seen_at[zone].is_some_and(|at| now - at >= self.limits.direct_ping_after_ms);
         is_old && self.own_zone != Some(zone)
     }
 
     /// A member to ping now, besides the regular probes, because its zone's latest sign of life is stale.
     /// `draw` is a random number.
     pub fn direct_ping(&mut self, now: f64, draw: u64) -> Option<u16> {
-        if now < self.direct_at {
+        if now < self.next_direct_ping_at {
             return None;
         }
         let zone = self.most_stale_zone(now)?;
         let members = self.map.size(zone);
-        let members_per_router = members as f64 / self.map.roster().max(1) as f64;
-        let rate = self.limits.direct_per_member * members_per_router;
-        let period = self.limits.direct_period.max(1_000.0 / rate.max(f64::MIN_POSITIVE));
-        self.direct_at = now + period;
+        let members_per_router = members as f64 / self.map.roster_size().max(1) as f64;
+        let rate = self.limits.direct_pings_per_second * members_per_router;
+        let interval_ms = self.limits.direct_ping_interval_ms.max(1_000.0 / rate.max(f64::MIN_POSITIVE));
+        self.next_direct_ping_at = now + interval_ms;
         self.map.members_of(zone).nth((draw % members as u64) as usize)
     }
 
@@ -231,7 +237,7 @@
     fn most_stale_zone(&self, now: f64) -> Option<usize> {
         let age = |zone: usize| self.last_seen_at[zone].map(|at| now - at);
         let is_stale = |zone: &usize| {
-            let is_old = age(*zone).is_some_and(|age| age >= self.limits.direct_after);
+            let is_old = age(*zone).is_some_and(|age| age >= self.limits.direct_ping_after_ms);
             is_old
                 && self.own_zone != Some(*zone)
                 && self.map.size(*zone) > 0
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -19,7 +19,7 @@
 mod evidence;
 mod map;
 
-pub use evidence::{Change, Limits, Reachability, ZoneEvidence};
+pub use evidence::{Limits, Reachability, ReachabilityChange, ZoneEvidence};
 pub use map::{BATCH_CHUNKS, CHUNK_MEMBERS, MapBatch, MapChunk, ZoneMap};
 
 /// The number of zones that are watched, 0 to 11: as many as fit into one gossip entry. Members of other
--- a/crates/zones/src/map.rs
+++ b/crates/zones/src/map.rs
@@ -60,10 +60,10 @@
 }
 
 impl ZoneMap {
-    /// An empty map for a roster of `roster` members. `first_batch` is the part that is requested first.
-    pub fn new(roster: usize, first_batch: usize) -> ZoneMap {
+    /// An empty map for a roster of `roster_size` members. `first_batch` is the part that is requested first.
+    pub fn new(roster_size: usize, first_batch: usize) -> ZoneMap {
         ZoneMap {
-            members: vec![Known::default(); roster],
+            members: vec![Known::default(); roster_size],
             sizes: [0; MAX_ZONES],
             next_batch: first_batch,
             version: 0,
@@ -86,7 +86,7 @@
     }
 
     /// The number of members of the roster.
-    pub fn roster(&self) -> usize {
+    pub fn roster_size(&self) -> usize {
         self.members.len()
     }
 
--- a/crates/zones/src/tests.rs
+++ b/crates/zones/src/tests.rs
@@ -21,7 +21,12 @@
 
 /// Advances the time in ticks of 100 ms while these members, one per zone, are received from; returns all
 /// changes.
-fn advance(evidence: &mut ZoneEvidence, from: f64, until: f64, received: &[u16]) -> Vec<(f64, Change)> {
+fn advance(
+    evidence: &mut ZoneEvidence,
+    from: f64,
+    until: f64,
+    received: &[u16],
+) -> Vec<(f64, ReachabilityChange)> {
     let mut changes = Vec::new();
     let mut now = from;
     while now < until {
@@ -36,11 +41,11 @@
 fn a_silent_zone_is_lost_or_cut_off_after_the_limit_and_reachable_at_its_next_sign_of_life() {
     let mut evidence = informed_evidence();
     let changes = advance(&mut evidence, 0.0, 20.0 * SECOND, &[1, 2, 3, 4]);
-    let expected = Change { zone: 5, reachability: Reachability::LostOrCutOff };
-    assert_eq!(changes, [(limits().silence, expected)]);
+    let expected = ReachabilityChange { zone: 5, reachability: Reachability::LostOrCutOff };
+    assert_eq!(changes, [(limits().silent_after_ms, expected)]);
     assert!(evidence.is_in_silent_zone(11) && !evidence.is_in_silent_zone(10));
     evidence.observe_member(20_050.0, 11, Some(5));
-    let back = Change { zone: 5, reachability: Reachability::Reachable };
+    let back = ReachabilityChange { zone: 5, reachability: Reachability::Reachable };
     assert_eq!(evidence.tick(20_100.0), [back]);
 }
 
@@ -68,9 +73,10 @@
     advance(&mut evidence, 0.0, SECOND, &[1, 2, 3, 4, 5]);
     let resumed = 60.0 * SECOND;
     assert!(evidence.tick(resumed).is_empty());
-    assert!(advance(&mut evidence, resumed, resumed + limits().silence - 200.0, &[]).is_empty());
+    assert!(advance(&mut evidence, resumed, resumed + limits().silent_after_ms - 200.0, &[]).is_empty());
     assert!(
-        !advance(&mut evidence, resumed + limits().silence - 200.0, resumed + 10.0 * SECOND, &[]).is_empty()
+        !advance(&mut evidence, resumed + limits().silent_after_ms - 200.0, resumed + 10.0 * SECOND, &[])
+            .is_empty()
     );
     // Signs of life from before the stop are not reported as recent.
     assert_eq!(evidence.ages(resumed)[3], Age::UNKNOWN);
@@ -82,7 +88,7 @@
     evidence.learn_chunk(&MapChunk { first: 0, zones: [1; 24] });
     let changes = advance(&mut evidence, 0.0, 10.0 * SECOND, &[]);
     assert_eq!(changes.len(), 1);
-    assert_eq!(changes[0].0, limits().silence);
+    assert_eq!(changes[0].0, limits().silent_after_ms);
 }
 
 #[test]
@@ -105,11 +111,12 @@
         pings.extend(evidence.direct_ping(now, now as u64).map(|member| (now, member)));
     }
     assert!(pings.iter().all(|(_, member)| member % 6 == 5), "{pings:?}");
-    let within = |(at, _): &(f64, u16)| (limits().direct_after..limits().silence).contains(at);
+    let within =
+        |(at, _): &(f64, u16)| (limits().direct_ping_after_ms..limits().silent_after_ms).contains(at);
     assert!(pings.iter().all(within), "{pings:?}");
     // Sixty routers, ten members: each member gets at most eight a second from all of them.
-    let seconds = (limits().silence - limits().direct_after) / SECOND;
-    let most = limits().direct_per_member * 10.0 / 60.0 * seconds + 1.0;
+    let seconds = (limits().silent_after_ms - limits().direct_ping_after_ms) / SECOND;
+    let most = limits().direct_pings_per_second * 10.0 / 60.0 * seconds + 1.0;
     assert!(!pings.is_empty() && pings.len() as f64 <= most, "{} of {most}", pings.len());
 }
 
