--- a/crates/facts/src/latest.rs
+++ b/crates/facts/src/latest.rs
@@ -40,8 +40,8 @@
 }
 
 impl<T> LatestByOrigin<T> {
-    /// Stores a value unless it is no later than its origin's stored value, or older than those of
-    /// `max_origins` other origins. Returns whether it was stored.
+    /// Stores a value if it is later than its origin's stored value, and keeps only the values of the
+    /// `max_origins` origins with the latest ones. Returns whether the new value is kept.
     pub fn merge(&mut self, new: Stamped<T>, max_origins: usize) -> bool {
         let origin = new.stamp.origin;
         let entry = self.values.get(&origin);
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -57,14 +57,15 @@
         }
     }
 
-    /// Records an observation of this router itself, and queues it for sending unless enough is known
-    /// already. Returns whether it was queued.
+    /// Records an observation of this router itself, and queues it for sending unless it adds nothing: the
+    /// host is already stored as the group's primary, or enough other routers have reported it as
+    /// unresponsive. Returns whether it was queued.
     pub fn observe(&mut self, now: f64, observation: Observation) -> bool {
         let is_known = match observation {
             Observation::Unresponsive { host } => {
                 self.unresponsive_reports(now, host) >= self.limits.max_origins
             }
-            Observation::Primary { group, host } => self.store.holds_primary(group, host),
+            Observation::Primary { group, host } => self.store.has_primary(group, host),
             Observation::ReplicaLag { .. } | Observation::Slow { .. } => false,
         };
         let fact = Fact { observation, origin: self.local, observed_at: now };
@@ -102,8 +103,8 @@
         self.queue.take(now, limit, &self.limits)
     }
 
-    /// Whether this router learned a new primary recently: others may have changed that it has not learned
-    /// yet.
+    /// Whether this router learned a new primary recently: others may have changed as well that it does not
+    /// know yet.
     pub fn should_pull(&self, now: f64) -> bool {
         now - self.primary_learned_at <= self.limits.pull_window_ms
     }
--- a/crates/facts/src/limits.rs
+++ b/crates/facts/src/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the store and the queue.
 
-/// Maximum sizes and lifetimes; all times are in ms.
+/// Maximum sizes, lifetimes and counts.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Groups in the store; beyond this, the one with the oldest observation is evicted and counted.
@@ -13,7 +13,7 @@
     pub primary_lifetime_ms: f64,
     /// Maximum age of the primaries that a digest covers.
     pub digest_window_ms: f64,
-    /// How long after learning a new primary a router pulls further ones from others.
+    /// How long after learning a new primary a router pulls missing ones from others.
     pub pull_window_ms: f64,
     /// How long an observed replica lag is valid.
     pub replica_lag_lifetime_ms: f64,
@@ -21,7 +21,7 @@
     pub degradation_lifetime_ms: f64,
     /// Maximum clock skew between routers: facts with a timestamp further in the future are rejected.
     pub max_clock_skew_ms: f64,
-    /// How many times a fact is sent.
+    /// How many times a router sends a fact.
     pub transmit_limit: u8,
     /// Facts in the queue to be sent; the first one is dropped when it is full.
     pub max_queued: usize,
--- a/crates/facts/src/store.rs
+++ b/crates/facts/src/store.rs
@@ -24,7 +24,7 @@
 /// How slow a host's reads were, over all routers that reported slow reads.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencyRatio {
-    /// The number of slow reads.
+    /// The number of slow reads that were reported.
     pub reads: f64,
     /// The mean latency of these reads as a multiple of the usual latency.
     pub ratio: f64,
@@ -141,7 +141,7 @@
     }
 
     /// Whether this host is stored as the group's primary, however old the observation is.
-    pub fn holds_primary(&self, group: GroupKey, host: HostKey) -> bool {
+    pub fn has_primary(&self, group: GroupKey, host: HostKey) -> bool {
         self.primaries.get(&group).is_some_and(|entry| entry.value == host)
     }
 
--- a/crates/facts/src/tests.rs
+++ b/crates/facts/src/tests.rs
@@ -21,12 +21,12 @@
             reads
         }),
     ];
-    // Generated facts may share subject, origin and timestamp. A router makes one observation at a time, so
-    // that its facts don't: tests for which this matters filter them.
-    (observation, 1u16..7, 0u32..5).prop_map(|(observation, origin, ago)| Fact {
+    // Generated facts may share subject, origin and timestamp, which a router's own observations never do:
+    // tests for which this matters remove such duplicates.
+    (observation, 1u16..7, 0u32..5).prop_map(|(observation, origin, age)| Fact {
         observation,
         origin,
-        observed_at: NOW - f64::from(ago) * 900.0,
+        observed_at: NOW - f64::from(age) * 900.0,
     })
 }
 
--- a/crates/members/src/gossip.rs
+++ b/crates/members/src/gossip.rs
@@ -20,7 +20,7 @@
         self.roster.set_transmissions(self.local, transmit_limit);
     }
 
-    /// At most `count` distinct random members that are expected to answer, without the excluded ones.
+    /// At most `count` distinct random members that are expected to answer, none of them excluded.
     pub fn random_members(&mut self, count: usize, excluded: [MemberId; 2]) -> Vec<MemberId> {
         let mut chosen = Vec::new();
         for _ in 0..DRAWS_PER_MEMBER * count {
@@ -32,7 +32,7 @@
                 chosen.push(candidate);
             }
         }
-        // Few candidates remain, so that random draws seldom hit one: choose the rest from a list of them.
+        // So few candidates remain that random draws seldom hit one: chooses the rest from a list of them.
         let mut candidates = self.reachable();
         candidates.retain(|member| self.is_candidate(*member, excluded) && !chosen.contains(member));
         while chosen.len() < count && !candidates.is_empty() {
@@ -47,7 +47,7 @@
     }
 
     /// At most `limit` updates to piggyback on a datagram to member `to`: first the update about `to`
-    /// itself if it is not believed alive, so that it can refute it, then those transmitted least often.
+    /// itself if it is not believed alive, which it may then refute, then those transmitted least often.
     pub fn updates_for(&mut self, to: MemberId, limit: usize) -> Vec<Update> {
         let mut updates = Vec::new();
         if let Some(member) = self.roster.get(to).filter(|member| member.state != State::Alive) {
--- a/crates/members/src/health.rs
+++ b/crates/members/src/health.rs
@@ -1,5 +1,5 @@
-//! Lifeguard's local health: a router with signs of a problem of its own gives other members more time
-//! before it suspects them.
+//! Lifeguard's local health: while a router shows signs of a problem of its own, it waits longer for other
+//! members before it suspects them.
 
 use crate::Members;
 use crate::limits::MAX_HEALTH_PENALTY;
@@ -10,7 +10,7 @@
         f64::from(1 + self.health_penalty)
     }
 
-    /// How long a ping waits for its ack, in ms.
+    /// How long a ping waits for its ack, extended by the health multiplier.
     pub(crate) fn extended_ack_timeout_ms(&self) -> f64 {
         self.limits.ack_timeout_ms * self.health_multiplier()
     }
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -37,7 +37,7 @@
     roster: Roster,
     /// Suspicions that this router raised itself.
     suspicions: Vec<OwnSuspicion>,
-    /// Members still to be pinged in the current round; the next one is at the end.
+    /// Members still to be pinged in the current round, in reverse order.
     round: Vec<MemberId>,
     pending_ping: Option<PendingPing>,
     relayed_pings: Vec<RelayedPing>,
@@ -167,13 +167,13 @@
     /// passed since the previous call, this process is taken to have been paused.
     pub fn tick(&mut self, now: f64) -> Vec<Action> {
         let mut actions = Vec::new();
-        let elapsed = self.last_tick_at.map_or(0.0, |at| now - at);
+        let elapsed_ms = self.last_tick_at.map_or(0.0, |at| now - at);
         self.last_tick_at = Some(now);
         if self.left {
             return actions;
         }
-        if elapsed > self.limits.pause_threshold_ms {
-            self.resume_after_pause(now, elapsed);
+        if elapsed_ms > self.limits.pause_threshold_ms {
+            self.resume_after_pause(now, elapsed_ms);
         }
         self.expire_relayed_pings(now);
         self.expire_suspicions(now);
@@ -198,7 +198,7 @@
         if from == self.local || usize::from(from) >= self.roster.len() || self.left {
             return actions;
         }
-        let is_unaware = self.note_sender(from, incarnation);
+        let has_not_refuted = self.record_sender(from, incarnation);
         for update in updates {
             self.apply(*update);
         }
@@ -212,7 +212,7 @@
             }
             Message::Gossip => {}
         }
-        if is_unaware && !matches!(message, Message::Ping { .. }) {
+        if has_not_refuted && !matches!(message, Message::Ping { .. }) {
             // A ping is answered with an ack, which carries the same updates.
             actions.push(Action::Send { to: from, message: Message::Gossip });
         }
@@ -221,13 +221,13 @@
     }
 
     /// Records the sender of a datagram as alive; a late datagram of an earlier process does not revive the
-    /// member. Returns true if the sender has not refuted the state believed of it: the next datagram to it
+    /// member. Returns whether the sender has yet to refute the state believed of it: the next datagram to it
     /// carries that state, so that it can.
-    fn note_sender(&mut self, from: MemberId, incarnation: Incarnation) -> bool {
+    fn record_sender(&mut self, from: MemberId, incarnation: Incarnation) -> bool {
         let Some(believed) = self.roster.get(from) else { return false };
-        let is_unaware = believed.state != State::Alive && incarnation == believed.incarnation;
+        let has_not_refuted = believed.state != State::Alive && incarnation == believed.incarnation;
         self.apply(Update { member: from, incarnation, state: State::Alive });
-        is_unaware
+        has_not_refuted
     }
 
     fn report_changes(&mut self, actions: &mut Vec<Action>) {
--- a/crates/members/src/limits.rs
+++ b/crates/members/src/limits.rs
@@ -3,13 +3,13 @@
 /// Periods, counts and multipliers of the failure detector and of gossip.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Mean time between two direct probes, in ms.
+    /// Mean time between two direct probes.
     pub probe_period_ms: f64,
-    /// How long a direct probe waits for its ack before indirect probes are requested, in ms; multiplied by
+    /// How long a direct probe waits for its ack before indirect probes are requested; multiplied by
     /// this router's health multiplier. A member that has not answered by the end of the probe period is
     /// suspected.
     pub ack_timeout_ms: f64,
-    /// Members that are asked to probe a member that did not answer the direct probe.
+    /// Number of members that are asked to probe a member that did not answer the direct probe.
     pub indirect_probes: usize,
     /// Suspicion timeout, in probe periods per power of ten of the number of counted members (at least one
     /// power).
@@ -19,7 +19,7 @@
     /// Every this many probe periods, a member is probed that is dead, has left or is in a silent group, so
     /// that the sides of a partition find each other again when it heals.
     pub dead_probe_interval: u32,
-    /// Time between two ticks, in ms, beyond which this router's own process is taken to have been paused.
+    /// Time between two ticks beyond which this router's own process is taken to have been paused.
     pub pause_threshold_ms: f64,
 }
 
--- a/crates/members/src/message.rs
+++ b/crates/members/src/message.rs
@@ -5,11 +5,11 @@
 /// A message from one router to another, without the piggybacked updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Message {
-    /// Requests a [`Message::Ack`] with the same number.
+    /// Asks the receiver for a [`Message::Ack`] with the same number.
     Ping { number: u32 },
     /// Answers the ping or ping request with this number.
     Ack { number: u32 },
-    /// Requests that the receiver ping `target`, and send an ack with this number if the target answers.
+    /// Asks the receiver to ping `target`, and send an ack with this number if the target answers.
     PingRequest { number: u32, target: MemberId },
     /// Carries only updates.
     Gossip,
--- a/crates/members/src/probe.rs
+++ b/crates/members/src/probe.rs
@@ -11,7 +11,7 @@
     number: u32,
     sent_at: f64,
     /// Whether indirect pings of the target have been requested.
-    indirect: bool,
+    is_indirect_requested: bool,
 }
 
 /// An outstanding ping on behalf of another member.
@@ -28,11 +28,11 @@
     /// Drops the outstanding pings after a pause of this process and extends its suspicions by the pause:
     /// members may have answered meanwhile, so none is suspected or declared dead because of this router's
     /// own pause.
-    pub(crate) fn resume_after_pause(&mut self, now: f64, pause: f64) {
+    pub(crate) fn resume_after_pause(&mut self, now: f64, pause_ms: f64) {
         self.pending_ping = None;
         self.relayed_pings.clear();
         self.health_penalty = MAX_HEALTH_PENALTY;
-        self.suspicions.iter_mut().for_each(|suspicion| suspicion.raised_at += pause);
+        self.suspicions.iter_mut().for_each(|suspicion| suspicion.raised_at += pause_ms);
         self.next_probe_at = now;
     }
 
@@ -44,10 +44,10 @@
     /// Asks other members to ping the target if its ack is overdue.
     pub(crate) fn request_indirect_pings(&mut self, now: f64, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending_ping else { return };
-        if pending.indirect || now - pending.sent_at < self.extended_ack_timeout_ms() {
+        if pending.is_indirect_requested || now - pending.sent_at < self.extended_ack_timeout_ms() {
             return;
         }
-        self.pending_ping = Some(PendingPing { indirect: true, ..pending });
+        self.pending_ping = Some(PendingPing { is_indirect_requested: true, ..pending });
         let message = Message::PingRequest { number: pending.number, target: pending.target };
         for to in self.random_members(self.limits.indirect_probes, [pending.target, self.local]) {
             actions.push(Action::Send { to, message });
@@ -62,13 +62,14 @@
         self.suspect_unanswered(now);
         if let Some(target) = self.next_target() {
             let number = self.next_ping_number();
-            self.pending_ping = Some(PendingPing { target, number, sent_at: now, indirect: false });
+            self.pending_ping =
+                Some(PendingPing { target, number, sent_at: now, is_indirect_requested: false });
             actions.push(Action::Send { to: target, message: Message::Ping { number } });
         }
         // Jitter of a quarter in either direction, so that routers started together do not probe in lockstep.
         let jitter = 0.75 + (self.random.next() % 1_000) as f64 / 2_000.0;
-        let stretch = if self.health_penalty > 0 { UNHEALTHY_PERIOD_FACTOR } else { 1.0 };
-        self.next_probe_at = now + self.limits.probe_period_ms * jitter * stretch;
+        let health_factor = if self.health_penalty > 0 { UNHEALTHY_PERIOD_FACTOR } else { 1.0 };
+        self.next_probe_at = now + self.limits.probe_period_ms * jitter * health_factor;
     }
 
     /// Suspects the target of the outstanding ping if its ack is overdue.
@@ -138,8 +139,8 @@
         target: MemberId,
         actions: &mut Vec<Action>,
     ) {
-        let known = usize::from(target) < self.roster.len() && target != self.local;
-        if !known || self.relayed_pings.len() >= MAX_RELAYED_PINGS {
+        let is_known = usize::from(target) < self.roster.len() && target != self.local;
+        if !is_known || self.relayed_pings.len() >= MAX_RELAYED_PINGS {
             return;
         }
         let number = self.next_ping_number();
--- a/crates/members/src/suspicion.rs
+++ b/crates/members/src/suspicion.rs
@@ -12,27 +12,27 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnSuspicion {
     pub member: MemberId,
-    /// When it was raised, in ms; moved forward by the time for which this router was paused since.
+    /// When it was raised; moved forward by the time for which this router was paused since.
     pub raised_at: f64,
     /// When the next ping to the member is due.
     next_ping_at: f64,
 }
 
 impl Members {
-    /// How long after a suspicion its member is declared dead, in ms, while this router is healthy.
+    /// How long after a suspicion is raised its member is declared dead, while this router is healthy.
     pub fn suspicion_timeout_ms(&self) -> f64 {
         let counted = self.counted_size() as f64;
         let powers_of_ten = counted.max(2.0).log10().max(1.0);
         self.limits.suspicion_multiplier * powers_of_ten * self.limits.probe_period_ms
     }
 
-    /// An upper bound, in ms, of the time from a member's death until this router declares it dead, even
-    /// without updates from others: a round of probes and the longest suspicion. Simulated tiers in tests
-    /// rely on this bound.
+    /// An upper bound of the time from a member's death until this router declares it dead, even without
+    /// updates from others: a round of probes and the longest suspicion. Simulated tiers in tests rely on this
+    /// bound.
     pub fn detection_bound_ms(&self) -> f64 {
         let round = 2.0 * self.roster.len() as f64 + 2.0;
-        let longest_suspicion = self.suspicion_timeout_ms() * f64::from(1 + MAX_HEALTH_PENALTY);
-        round * self.limits.probe_period_ms * UNHEALTHY_PERIOD_FACTOR + longest_suspicion
+        let longest_suspicion_ms = self.suspicion_timeout_ms() * f64::from(1 + MAX_HEALTH_PENALTY);
+        round * self.limits.probe_period_ms * UNHEALTHY_PERIOD_FACTOR + longest_suspicion_ms
     }
 
     /// Suspects a member that did not answer, unless its whole group is silent. Returns whether a new
@@ -51,12 +51,12 @@
 
     /// Declares members dead that did not refute this router's own suspicion in time.
     pub(crate) fn expire_suspicions(&mut self, now: f64) {
-        let timeout = self.suspicion_timeout_ms() * self.health_multiplier();
+        let timeout_ms = self.suspicion_timeout_ms() * self.health_multiplier();
         let mut suspicions = std::mem::take(&mut self.suspicions);
         // A suspicion is obsolete if the member refuted it, is known to be dead or to have left, or is in a
         // silent group.
         suspicions.retain(|own| self.is_reachable(own.member) && self.state(own.member) == State::Suspect);
-        let (expired, remaining) = suspicions.into_iter().partition(|own| now - own.raised_at >= timeout);
+        let (expired, remaining) = suspicions.into_iter().partition(|own| now - own.raised_at >= timeout_ms);
         self.suspicions = remaining;
         for own in expired {
             let Some(entry) = self.roster.get(own.member) else { continue };
@@ -89,8 +89,8 @@
             return self.refute(update);
         }
         let Some(entry) = self.roster.get(update.member) else { return };
-        let is_accusation = matches!(update.state, State::Suspect | State::Dead);
-        let is_ignored = is_accusation && entry.group != GroupStatus::Reachable;
+        let is_suspicion_or_death = matches!(update.state, State::Suspect | State::Dead);
+        let is_ignored = is_suspicion_or_death && entry.group != GroupStatus::Reachable;
         if is_ignored || !update.overrides(entry) {
             return;
         }
@@ -120,13 +120,14 @@
         }
     }
 
-    /// Refutes an update by which this router is not alive, or by which a later process of it exists, with
-    /// a later incarnation.
+    /// Refutes, with a later incarnation, an update that this router is not alive, or that a later process of
+    /// it exists.
     fn refute(&mut self, update: Update) {
-        let is_accused = update.state != State::Alive && update.incarnation >= self.incarnation && !self.left;
+        let is_believed_not_alive =
+            update.state != State::Alive && update.incarnation >= self.incarnation && !self.left;
         // An earlier process of this router may have started while its clock was ahead.
         let is_later_process = update.incarnation.started_at > self.incarnation.started_at;
-        if !is_accused && !is_later_process {
+        if !is_believed_not_alive && !is_later_process {
             return;
         }
         self.incarnation = self.incarnation.refuting(update.incarnation);
--- a/crates/members/src/tests.rs
+++ b/crates/members/src/tests.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 const TICK_MS: f64 = 50.0;
-const MAX_UPDATES: usize = 12;
+const MAX_UPDATES_PER_DATAGRAM: usize = 12;
 
 /// Sender, receiver, the sender's incarnation, message and piggybacked updates.
 type Datagram = (u16, u16, Incarnation, Message, Vec<Update>);
@@ -25,7 +25,9 @@
     loss: f64,
     /// The side of the partition that each member is on.
     side: Vec<u8>,
-    sent: usize,
+    /// Messages sent so far, including lost ones.
+    sent_messages: usize,
+    /// Datagrams put in flight so far.
     datagrams: u64,
 }
 
@@ -41,7 +43,7 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             loss,
             side: vec![0; size],
-            sent: 0,
+            sent_messages: 0,
             datagrams: 0,
         }
     }
@@ -57,8 +59,9 @@
                 continue;
             };
             let Some(member) = &mut self.members[from] else { return };
-            let (incarnation, updates) = (member.incarnation(), member.updates_for(to, MAX_UPDATES));
-            self.sent += 1;
+            let (incarnation, updates) =
+                (member.incarnation(), member.updates_for(to, MAX_UPDATES_PER_DATAGRAM));
+            self.sent_messages += 1;
             if self.random_fraction() < self.loss || self.side[from] != self.side[to as usize] {
                 continue;
             }
@@ -71,6 +74,7 @@
         }
     }
 
+    /// Advances the time by `ms`.
     fn run(&mut self, ms: f64) {
         let until = self.now + ms;
         while self.now < until {
@@ -122,7 +126,7 @@
         let mut tier = Tier::new(size, 5, 0.0);
         tier.run(seconds * 1_000.0);
         assert!(tier.all_alive());
-        let sent_per_second = tier.sent as f64 / size as f64 / seconds;
+        let sent_per_second = tier.sent_messages as f64 / size as f64 / seconds;
         assert!((1.0..2.0).contains(&sent_per_second), "{size}: {sent_per_second}");
     }
 }
@@ -185,8 +189,8 @@
     tier.members[5] = None;
     tier.run(6_000.0);
     assert!(tier.views(5).iter().all(|s| *s == State::Left));
-    // It restarts with a clock that is 1 ms behind: the state of its earlier incarnation does not keep it
-    // out.
+    // It restarts with a clock that is 1 ms behind, so with an earlier incarnation: it has to refute that it
+    // has left.
     tier.members[5] = Some(Members::new(5, 8, 0, 77, Limits::default()).unwrap());
     tier.run(20_000.0);
     assert!(tier.all_alive());
@@ -327,7 +331,7 @@
         prop_assert_eq!(first, beliefs_after(&all));
     }
 
-    /// Arbitrary events at arbitrary times cause no panic, and nothing grows beyond its bound.
+    /// Arbitrary events at arbitrary times cause no panic, and no collection grows beyond its bound.
     #[test]
     fn arbitrary_events_respect_all_bounds(
         events in prop::collection::vec(
--- a/crates/members/src/update.rs
+++ b/crates/members/src/update.rs
@@ -9,15 +9,16 @@
 pub struct Incarnation {
     /// When the process started, in Unix ms.
     pub started_at: u64,
-    /// How many times the process has refuted its suspicion or death since.
+    /// How many times the process has since refuted that it is suspected or dead.
     pub refutations: u32,
 }
 
 impl Incarnation {
-    /// The incarnation with which the process of incarnation `self` refutes an update about `accused`.
-    pub(crate) fn refuting(self, accused: Incarnation) -> Incarnation {
-        let started_at = self.started_at.max(accused.started_at);
-        match accused.refutations.checked_add(1) {
+    /// The incarnation with which the process of incarnation `self` refutes an update about incarnation
+    /// `refuted`.
+    pub(crate) fn refuting(self, refuted: Incarnation) -> Incarnation {
+        let started_at = self.started_at.max(refuted.started_at);
+        match refuted.refutations.checked_add(1) {
             Some(refutations) => Incarnation { started_at, refutations },
             // No process refutes this often, but a forged update may claim it: the later start time ensures
             // that it can still be refuted.
@@ -45,22 +46,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Update {
     pub member: MemberId,
-    /// The member's incarnation that the update is about.
+    /// The incarnation of the member that the update is about.
     pub incarnation: Incarnation,
     pub state: State,
 }
 
-/// The status of a member's group, such as its zone, as determined by a group failure detector.
+/// The status of a member's group, such as its zone, as determined by a failure detector for whole groups. A
+/// group is silent if no router has received a datagram from any of its members for some time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum GroupStatus {
-    /// The group is not silent: its members are suspected individually.
+    /// The group is not silent: its members may be suspected individually.
     #[default]
     Reachable,
-    /// The group is silent, and its members are not counted. None of them is suspected individually
-    /// meanwhile.
+    /// The group is silent: its members are not counted, and none of them is suspected individually.
     NotCounted,
-    /// The group is silent, but its members may be on the other side of a partition: they are still
-    /// counted, and none of them is suspected individually meanwhile.
+    /// The group is silent, but its members may be on the other side of a partition: they stay counted, and
+    /// none of them is suspected individually.
     Frozen,
 }
 
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -14,10 +14,10 @@
     pub direct_ping_interval_ms: f64,
     /// About how many direct pings a second each member of a stale zone gets from all routers together.
     pub direct_pings_per_second: f64,
-    /// While the zones of some members are unknown, another router is asked for a part of the map at this
-    /// interval.
+    /// While the zones of some members are unknown, a batch of the zone map is requested from another router at
+    /// this interval.
     pub map_request_interval_ms: f64,
-    /// A tick that comes later than this shows that this router itself was stopped.
+    /// Time between two ticks beyond which this router's own process is taken to have been paused.
     pub pause_threshold_ms: f64,
 }
 
@@ -49,7 +49,7 @@
     /// Silent, and together with other silent zones less than half of the roster: its members aren't counted.
     /// This router can't distinguish a lost zone from one that is cut off.
     LostOrCutOff,
-    /// Silent, and together with other silent zones half of the roster or more: this router is as likely on
+    /// Silent, and together with other silent zones half of the roster or more: this router may well be on
     /// the smaller side of a partition. The zone's members stay counted.
     CutOff,
 }
@@ -61,7 +61,7 @@
     pub reachability: Reachability,
 }
 
-/// One router's evidence for all zones.
+/// The failure detector of one router for all zones: their latest signs of life and their reachability.
 #[derive(Clone, Debug)]
 pub struct ZoneEvidence {
     limits: Limits,
@@ -70,7 +70,7 @@
     /// The time of the latest sign of life of each zone.
     last_seen_at: [Option<f64>; MAX_ZONES],
     reachability: [Reachability; MAX_ZONES],
-    /// No zone becomes silent before this time: this router has just started, or was stopped.
+    /// No zone becomes silent before this time: this router has just started, or was paused.
     trusted_from: f64,
     last_tick_at: Option<f64>,
     next_direct_ping_at: f64,
@@ -78,7 +78,7 @@
 }
 
 impl ZoneEvidence {
-    /// The evidence of a router that starts now. `own_zone` is its zone, ignored if it isn't a watched one.
+    /// The evidence of a router that starts now. `own_zone` is its zone, ignored if it isn't monitored.
     pub fn new(own_zone: Option<usize>, map: ZoneMap, now: f64, limits: Limits) -> ZoneEvidence {
         ZoneEvidence {
             limits,
@@ -97,7 +97,7 @@
         &self.map
     }
 
-    /// The part of the zone map to request from another router now, if a request is due.
+    /// The batch of the zone map to request from another router now, if a request is due.
     pub fn map_request(&mut self, now: f64) -> Option<MapBatch> {
         if now < self.next_map_request_at {
             return None;
@@ -161,17 +161,17 @@
 
     /// Advances the time and returns the changes of reachability; to be called several times a second.
     pub fn tick(&mut self, now: f64) -> Vec<ReachabilityChange> {
-        let since_tick = self.last_tick_at.map_or(0.0, |at| now - at);
+        let elapsed_ms = self.last_tick_at.map_or(0.0, |at| now - at);
         self.last_tick_at = Some(now);
-        if since_tick > self.limits.pause_threshold_ms || since_tick < 0.0 {
-            // Nothing could be received while this router was stopped: that is no evidence against others.
+        if elapsed_ms > self.limits.pause_threshold_ms || elapsed_ms < 0.0 {
+            // Nothing could be received while this router was paused: no zone becomes silent because of that.
             self.trusted_from = now + self.limits.silent_after_ms;
         }
         let silent_reachability = self.silent_reachability(now);
         (0..MAX_ZONES).filter_map(|zone| self.update(zone, now, silent_reachability)).collect()
     }
 
-    /// The reachability of all silent zones, by the part of the roster that they hold together.
+    /// The reachability of all silent zones, by the share of the roster that is in them.
     fn silent_reachability(&self, now: f64) -> Reachability {
         let silent: usize =
             (0..MAX_ZONES).filter(|zone| self.is_silent(*zone, now)).map(|zone| self.map.size(zone)).sum();
@@ -179,18 +179,19 @@
     }
 
     fn is_silent(&self, zone: usize, now: f64) -> bool {
-        let is_watched = self.own_zone != Some(zone) && self.map.size(zone) > 0;
-        if !is_watched {
+        let is_monitored = self.own_zone != Some(zone) && self.map.size(zone) > 0;
+        if !is_monitored {
             return false;
         }
-        if self.is_fresh(zone, now) {
+        if self.has_recent_sign_of_life(zone, now) {
             return false;
         }
-        // A silent zone stays so until a sign of life arrives, even while new silence isn't trusted.
+        // A silent zone stays silent until a sign of life arrives, even while no other zone may become
+        // silent.
         now >= self.trusted_from || self.reachability[zone] != Reachability::Reachable
     }
 
-    fn is_fresh(&self, zone: usize, now: f64) -> bool {
+    fn has_recent_sign_of_life(&self, zone: usize, now: f64) -> bool {
         self.last_seen_at[zone].is_some_and(|at| now - at < self.limits.silent_after_ms)
     }
 
@@ -219,21 +220,22 @@
     }
 
     /// A member to ping now, besides the regular probes, because its zone's latest sign of life is stale.
-    /// `draw` is a random number.
-    pub fn direct_ping(&mut self, now: f64, draw: u64) -> Option<u16> {
+    /// `random` is a random number that chooses it.
+    pub fn direct_ping(&mut self, now: f64, random: u64) -> Option<u16> {
         if now < self.next_direct_ping_at {
             return None;
         }
         let zone = self.most_stale_zone(now)?;
         let members = self.map.size(zone);
         let members_per_router = members as f64 / self.map.roster_size().max(1) as f64;
-        let rate = self.limits.direct_pings_per_second * members_per_router;
-        let interval_ms = self.limits.direct_ping_interval_ms.max(1_000.0 / rate.max(f64::MIN_POSITIVE));
+        let pings_per_second = self.limits.direct_pings_per_second * members_per_router;
+        let interval_ms =
+            self.limits.direct_ping_interval_ms.max(1_000.0 / pings_per_second.max(f64::MIN_POSITIVE));
         self.next_direct_ping_at = now + interval_ms;
-        self.map.members_of(zone).nth((draw % members as u64) as usize)
+        self.map.members_of(zone).nth((random % members as u64) as usize)
     }
 
-    /// The zone with the oldest sign of life among those that are stale and not yet silent.
+    /// The zone with the oldest latest sign of life among those that are stale and not yet silent.
     fn most_stale_zone(&self, now: f64) -> Option<usize> {
         let age = |zone: usize| self.last_seen_at[zone].map(|at| now - at);
         let is_stale = |zone: &usize| {
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -4,14 +4,14 @@
 //! suspicion timeout, and one gossip entry to report it to the others. So every router also keeps, for each
 //! zone, the age of the latest sign of life of *any* of its routers, and gossips these few ages. Ages merge
 //! by their minimum, which makes the order and the repetition of messages harmless. While any router receives
-//! from one router of a zone, the age stays low everywhere; when all of them are gone it grows at all routers
-//! alike, and the zone becomes silent for all of them at about the same time.
+//! from one router of a zone, the age stays low everywhere; when all of them are gone, it grows at all
+//! routers alike, and the zone becomes silent for all of them at about the same time.
 //!
 //! Silence alone doesn't distinguish a lost zone from one that is cut off. If the silent zones together hold
 //! less than half of the roster, they are [`Reachability::LostOrCutOff`] and their members are not counted.
 //! Otherwise this router may be on the smaller side of a partition: the zones are [`Reachability::CutOff`]
-//! and their members stay counted, so that the sides of a partition don't each take all of what the fleet may
-//! do together.
+//! and their members stay counted, so that the sides of a partition don't each use the allowances of the
+//! whole fleet.
 //!
 //! No I/O, no clock, no threads. Times are ms of the caller's clock, of which only differences count: clocks
 //! of different routers need not agree.
@@ -22,8 +22,8 @@
 pub use evidence::{Limits, Reachability, ReachabilityChange, ZoneEvidence};
 pub use map::{BATCH_CHUNKS, CHUNK_MEMBERS, MapBatch, MapChunk, ZoneMap};
 
-/// The number of zones that are watched, 0 to 11: as many as fit into one gossip entry. Members of other
-/// zones are only watched one by one.
+/// The number of zones that are monitored, 0 to 11: as many as fit into one gossip entry. Members of other
+/// zones are only monitored one by one.
 pub const MAX_ZONES: usize = 12;
 
 /// The age of the latest sign of life of each zone, as reported to others.
--- a/crates/zones/src/map.rs
+++ b/crates/zones/src/map.rs
@@ -1,6 +1,6 @@
 //! Which zone each member of the roster is in, as far as known. A member states its own zone in its
-//! datagrams; the rest is learned from other routers, which are asked for the parts of the map that are
-//! unknown.
+//! datagrams; the rest is learned from other routers, which are asked for the batches of the map in which some
+//! zone is unknown.
 
 use crate::MAX_ZONES;
 
@@ -10,7 +10,7 @@
 pub const BATCH_CHUNKS: usize = 11;
 const BATCH_MEMBERS: usize = BATCH_CHUNKS * CHUNK_MEMBERS;
 
-/// The number of a part of the map that one router asks another for.
+/// The number of a batch: the part of the map that one router requests from another at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MapBatch(pub u8);
 
@@ -30,7 +30,7 @@
 
 /// What is known of one member's zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Known {
+enum KnownZone {
     #[default]
     Unknown,
     /// Reported by another router.
@@ -39,11 +39,11 @@
     SelfReported(u8),
 }
 
-impl Known {
+impl KnownZone {
     fn zone(self) -> Option<u8> {
         match self {
-            Known::Unknown => None,
-            Known::Relayed(zone) | Known::SelfReported(zone) => Some(zone),
+            KnownZone::Unknown => None,
+            KnownZone::Relayed(zone) | KnownZone::SelfReported(zone) => Some(zone),
         }
     }
 }
@@ -51,7 +51,7 @@
 /// The zones of all members of a roster.
 #[derive(Clone, Debug)]
 pub struct ZoneMap {
-    members: Vec<Known>,
+    members: Vec<KnownZone>,
     /// The number of members known in each zone.
     sizes: [usize; MAX_ZONES],
     next_batch: usize,
@@ -60,10 +60,11 @@
 }
 
 impl ZoneMap {
-    /// An empty map for a roster of `roster_size` members. `first_batch` is the part that is requested first.
+    /// An empty map for a roster of `roster_size` members. `first_batch`, taken modulo the number of batches,
+    /// is the batch that is requested first.
     pub fn new(roster_size: usize, first_batch: usize) -> ZoneMap {
         ZoneMap {
-            members: vec![Known::default(); roster_size],
+            members: vec![KnownZone::default(); roster_size],
             sizes: [0; MAX_ZONES],
             next_batch: first_batch,
             version: 0,
@@ -100,21 +101,21 @@
 
     /// Records the zone that a member states of itself.
     pub fn learn_from_member(&mut self, member: u16, zone: u8) {
-        self.set(usize::from(member), Known::SelfReported(zone));
+        self.set(usize::from(member), KnownZone::SelfReported(zone));
     }
 
     /// Fills in unknown zones from another router's map; known ones are never overridden.
     pub fn learn_chunk(&mut self, chunk: &MapChunk) {
         for (member, zone) in (usize::from(chunk.first)..).zip(chunk.zones) {
-            if self.members.get(member).is_some_and(|known| *known == Known::Unknown) {
-                self.set(member, Known::Relayed(zone));
+            if self.members.get(member).is_some_and(|known| *known == KnownZone::Unknown) {
+                self.set(member, KnownZone::Relayed(zone));
             }
         }
     }
 
-    fn set(&mut self, member: usize, known: Known) {
-        let is_watched = known.zone().is_some_and(|zone| usize::from(zone) < MAX_ZONES);
-        let Some(current) = self.members.get_mut(member).filter(|_| is_watched) else { return };
+    fn set(&mut self, member: usize, known: KnownZone) {
+        let is_monitored = known.zone().is_some_and(|zone| usize::from(zone) < MAX_ZONES);
+        let Some(current) = self.members.get_mut(member).filter(|_| is_monitored) else { return };
         if let Some(before) = current.zone() {
             self.sizes[usize::from(before)] -= 1;
         }
@@ -133,7 +134,7 @@
             self.next_batch = self.next_batch.wrapping_add(1);
             let from = batch * BATCH_MEMBERS;
             let until = (from + BATCH_MEMBERS).min(self.members.len());
-            if self.members[from..until].contains(&Known::Unknown) {
+            if self.members[from..until].contains(&KnownZone::Unknown) {
                 return u8::try_from(batch).ok().map(MapBatch);
             }
         }
--- a/crates/zones/src/tests.rs
+++ b/crates/zones/src/tests.rs
@@ -2,11 +2,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-const PERIOD: f64 = 1_250.0;
-const SECOND: f64 = 1_000.0;
+const PROBE_PERIOD_MS: f64 = 1_250.0;
+const SECOND_MS: f64 = 1_000.0;
 
 fn limits() -> Limits {
-    Limits::for_probe_period(PERIOD, 400.0)
+    Limits::for_probe_period(PROBE_PERIOD_MS, 400.0)
 }
 
 /// The evidence of a router in zone 0 of six that knows the zones of all 60 members and has just received
@@ -40,7 +40,7 @@
 #[test]
 fn a_silent_zone_is_lost_or_cut_off_after_the_limit_and_reachable_at_its_next_sign_of_life() {
     let mut evidence = informed_evidence();
-    let changes = advance(&mut evidence, 0.0, 20.0 * SECOND, &[1, 2, 3, 4]);
+    let changes = advance(&mut evidence, 0.0, 20.0 * SECOND_MS, &[1, 2, 3, 4]);
     let expected = ReachabilityChange { zone: 5, reachability: Reachability::LostOrCutOff };
     assert_eq!(changes, [(limits().silent_after_ms, expected)]);
     assert!(evidence.is_in_silent_zone(11) && !evidence.is_in_silent_zone(10));
@@ -52,7 +52,7 @@
 #[test]
 fn silent_zones_with_half_of_the_roster_are_cut_off() {
     let mut evidence = informed_evidence();
-    let changes = advance(&mut evidence, 0.0, 20.0 * SECOND, &[1, 2]);
+    let changes = advance(&mut evidence, 0.0, 20.0 * SECOND_MS, &[1, 2]);
     let zones: Vec<usize> = changes.iter().map(|(_, change)| change.zone).collect();
     assert_eq!(zones, [3, 4, 5]);
     assert!(changes.iter().all(|(_, change)| change.reachability == Reachability::CutOff));
@@ -61,42 +61,42 @@
 #[test]
 fn lost_or_cut_off_becomes_cut_off_as_more_zones_fall_silent() {
     let mut evidence = informed_evidence();
-    advance(&mut evidence, 0.0, 10.0 * SECOND, &[1, 2, 3]);
+    advance(&mut evidence, 0.0, 10.0 * SECOND_MS, &[1, 2, 3]);
     assert_eq!(evidence.reachability(5), Reachability::LostOrCutOff);
-    advance(&mut evidence, 10.0 * SECOND, 20.0 * SECOND, &[1, 2]);
+    advance(&mut evidence, 10.0 * SECOND_MS, 20.0 * SECOND_MS, &[1, 2]);
     assert!((3..6).all(|zone| evidence.reachability(zone) == Reachability::CutOff));
 }
 
 #[test]
-fn a_router_that_was_stopped_takes_no_zone_for_silent_because_of_the_stop() {
+fn a_router_that_was_paused_considers_no_zone_silent_because_of_the_pause() {
     let mut evidence = informed_evidence();
-    advance(&mut evidence, 0.0, SECOND, &[1, 2, 3, 4, 5]);
-    let resumed = 60.0 * SECOND;
+    advance(&mut evidence, 0.0, SECOND_MS, &[1, 2, 3, 4, 5]);
+    let resumed = 60.0 * SECOND_MS;
     assert!(evidence.tick(resumed).is_empty());
     assert!(advance(&mut evidence, resumed, resumed + limits().silent_after_ms - 200.0, &[]).is_empty());
     assert!(
-        !advance(&mut evidence, resumed + limits().silent_after_ms - 200.0, resumed + 10.0 * SECOND, &[])
+        !advance(&mut evidence, resumed + limits().silent_after_ms - 200.0, resumed + 10.0 * SECOND_MS, &[])
             .is_empty()
     );
-    // Signs of life from before the stop are not reported as recent.
+    // Signs of life from before the pause are not reported as recent.
     assert_eq!(evidence.ages(resumed)[3], Age::UNKNOWN);
 }
 
 #[test]
-fn a_zone_without_any_sign_of_life_is_silent_only_after_the_start() {
+fn a_zone_without_any_sign_of_life_becomes_silent_after_the_limit_counted_from_the_start() {
     let mut evidence = ZoneEvidence::new(Some(0), ZoneMap::new(60, 0), 0.0, limits());
     evidence.learn_chunk(&MapChunk { first: 0, zones: [1; 24] });
-    let changes = advance(&mut evidence, 0.0, 10.0 * SECOND, &[]);
+    let changes = advance(&mut evidence, 0.0, 10.0 * SECOND_MS, &[]);
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].0, limits().silent_after_ms);
 }
 
 #[test]
-fn the_own_zone_is_never_silent() {
+fn a_routers_own_zone_is_never_silent() {
     let mut evidence = informed_evidence();
-    advance(&mut evidence, 0.0, 60.0 * SECOND, &[1, 2, 3, 4, 5]);
+    advance(&mut evidence, 0.0, 60.0 * SECOND_MS, &[1, 2, 3, 4, 5]);
     assert_eq!(evidence.reachability(0), Reachability::Reachable);
-    assert_eq!(evidence.ages(60.0 * SECOND)[0], Age::from_ms(0.0));
+    assert_eq!(evidence.ages(60.0 * SECOND_MS)[0], Age::from_ms(0.0));
 }
 
 #[test]
@@ -104,7 +104,7 @@
     let mut evidence = informed_evidence();
     let mut pings = Vec::new();
     let mut now = 0.0;
-    while now < 20.0 * SECOND {
+    while now < 20.0 * SECOND_MS {
         now += 100.0;
         (1..5).for_each(|zone| evidence.observe_member(now, zone, Some(zone as u8)));
         evidence.tick(now);
@@ -115,9 +115,9 @@
         |(at, _): &(f64, u16)| (limits().direct_ping_after_ms..limits().silent_after_ms).contains(at);
     assert!(pings.iter().all(within), "{pings:?}");
     // Sixty routers, ten members: each member gets at most eight a second from all of them.
-    let seconds = (limits().silent_after_ms - limits().direct_ping_after_ms) / SECOND;
-    let most = limits().direct_pings_per_second * 10.0 / 60.0 * seconds + 1.0;
-    assert!(!pings.is_empty() && pings.len() as f64 <= most, "{} of {most}", pings.len());
+    let seconds = (limits().silent_after_ms - limits().direct_ping_after_ms) / SECOND_MS;
+    let max_pings = limits().direct_pings_per_second * 10.0 / 60.0 * seconds + 1.0;
+    assert!(!pings.is_empty() && pings.len() as f64 <= max_pings, "{} of {max_pings}", pings.len());
 }
 
 #[test]
