--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,12 +1,12 @@
 //! Admission control by processor time: computes from the processor time that the process is granted and has
 //! used how many connections it may accept and which share of ops it may admit. No I/O and no clock: the
-//! clients' loop reports the time used on every tick and applies the resulting [`AdmissionLimits`]. The
-//! decision module gets the share and chooses which ops are refused.
+//! router's client loop reports the time used on every tick and applies the resulting [`AdmissionLimits`].
+//! The decision module receives the share and chooses which ops are refused.
 //!
 //! The cheapest work to defer is shed first. A connection in the listen backlog costs nothing, so accepting
 //! connections is throttled before ops are refused, and recovers after them; clients that retry before their
-//! retry-after time are disconnected during overload and then wait in the backlog too. The platform stops the
-//! process when the grant is used up, so measured use can't exceed it: the controller instead aims at a
+//! retry-after time are disconnected during overload and then wait in the backlog too. The platform pauses
+//! the process when the grant is used up, so measured use can't exceed it: the controller instead aims at a
 //! target just below the grant, with small gains so that the limits don't oscillate. Before anything is shed,
 //! the loops batch their work, which makes all of it cheaper.
 
@@ -21,17 +21,19 @@
 /// larger gain as well.
 const LOW_LOAD: f64 = 0.75;
 const LOW_LOAD_INCREASE_GAIN: f64 = 0.80;
-/// The limit on accepting changes by the factor of the ops' limit to this power.
+/// The limit on accepting changes by the factor of the limit on ops, raised to this power.
 const ACCEPT_EXPONENT: f64 = 3.0;
 /// The batch delay is adjusted to keep the load at this value: an op that wakes every thread for itself alone
 /// costs four times as much as one handled in a batch.
 const BATCHING_TARGET_LOAD: f64 = 0.80;
 const MAX_BATCH_DELAY_MS: f64 = 12.0;
 const MIN_BATCH_DELAY_MS: f64 = 0.25;
+/// Per control step and unit of load off [`BATCHING_TARGET_LOAD`], the batch delay changes by this fraction.
 const BATCHING_GAIN: f64 = 1.0;
+/// Length of a control step, to which the gains refer.
 const CONTROL_STEP_MS: f64 = 50.0;
-/// Time constant of the average of the load: longer than the platform's stops of the process, shorter than an
-/// overload.
+/// Time constant of the moving average of the load: longer than the platform's pauses of the process, shorter
+/// than an overload.
 const LOAD_SMOOTHING_MS: f64 = 250.0;
 /// Floors of the limits: if nothing were admitted, no client would find out that there is capacity again.
 const MIN_ACCEPT_SHARE: f64 = 0.01;
@@ -41,6 +43,7 @@
 const MIN_RETRY_AFTER_MS: f64 = 300.0;
 const MAX_RETRY_AFTER_MS: f64 = 1_300.0;
 const MAX_REFUSAL_LOAD: f64 = 0.04;
+/// Factor by which the retry-after time grows or shrinks per control step.
 const RETRY_AFTER_GROWTH: f64 = 1.10;
 
 /// Which work is shed at present.
@@ -79,7 +82,7 @@
     max_accepts_per_second: f64,
     /// Refusals per second at which refusing takes [`MAX_REFUSAL_LOAD`] of the grant.
     max_refusals_per_second: f64,
-    /// Time, processor time used and ops refused at the last update.
+    /// Time, processor time used (both in ms) and ops refused at the last update.
     last_sample: Option<(f64, f64, usize)>,
     /// Processor time used, as a fraction of the grant, averaged.
     load: f64,
@@ -119,21 +122,21 @@
         self.load
     }
 
-    /// Updates the limits. `now` is the time and `used` the processor time that the process has used since
-    /// its start, both in ms; `refused` counts the ops refused since then. Updates may be late, as the
-    /// platform stops the process at its limit; one whose time runs backwards is ignored.
-    pub fn update(&mut self, now: f64, used: f64, refused: usize) -> AdmissionLimits {
-        let (last_now, last_used, last_refused) = *self.last_sample.get_or_insert((now, used, refused));
-        let elapsed = now - last_now;
-        if elapsed >= 1.0 {
-            self.last_sample = Some((now, used, refused));
-            let load = ((used - last_used).max(0.0) / (elapsed * self.cores)).min(2.0);
-            let weight = 1.0 - (-elapsed / LOAD_SMOOTHING_MS).exp();
+    /// Updates the limits. `now` is the time in ms, `used_ms` the processor time that the process has used
+    /// since its start; `refused` counts the ops refused since then. Updates may be late, as the platform
+    /// pauses the process at its limit; one whose time runs backwards is ignored.
+    pub fn update(&mut self, now: f64, used_ms: f64, refused: usize) -> AdmissionLimits {
+        let (last_now, last_used_ms, last_refused) = *self.last_sample.get_or_insert((now, used_ms, refused));
+        let elapsed_ms = now - last_now;
+        if elapsed_ms >= 1.0 {
+            self.last_sample = Some((now, used_ms, refused));
+            let load = ((used_ms - last_used_ms).max(0.0) / (elapsed_ms * self.cores)).min(2.0);
+            let weight = 1.0 - (-elapsed_ms / LOAD_SMOOTHING_MS).exp();
             self.load += weight * (load - self.load);
-            // A very late update shows one stop of the process, not many steps of overload.
-            let steps = (elapsed / CONTROL_STEP_MS).min(4.0);
+            // A very late update shows one pause of the process, not many steps of overload.
+            let steps = (elapsed_ms / CONTROL_STEP_MS).min(4.0);
             self.step(steps);
-            let refusals_per_second = refused.saturating_sub(last_refused) as f64 * 1000.0 / elapsed;
+            let refusals_per_second = refused.saturating_sub(last_refused) as f64 * 1000.0 / elapsed_ms;
             let refuses_too_often =
                 self.admitted_share < 1.0 && refusals_per_second > self.max_refusals_per_second;
             let factor = if refuses_too_often { RETRY_AFTER_GROWTH } else { 1.0 / RETRY_AFTER_GROWTH };
@@ -152,8 +155,8 @@
         if excess > 0.0 && self.batch_delay_ms < MAX_BATCH_DELAY_MS {
             // Batching, which makes the work cheaper, is increased to its limit before anything is shed.
         } else if excess > 0.0 {
-            // Connections are throttled first, as delaying them costs least; ops are refused only at that
-            // limit's floor.
+            // Accepting is throttled first, as delaying connections costs least; ops are refused only once
+            // its limit is at its floor.
             let decrease = 1.0 - DECREASE_GAIN * excess;
             if self.accept_share > MIN_ACCEPT_SHARE {
                 self.accept_share =
@@ -202,15 +205,16 @@
 }
 
 impl AcceptLimiter {
-    /// Takes a token; true where a connection may be accepted at this time, in ms.
-    pub fn take(&mut self, now: f64, per_second: f64) -> bool {
-        if per_second.is_infinite() {
+    /// Takes a token; returns whether a connection may be accepted at the time `now`, in ms.
+    pub fn take(&mut self, now: f64, accepts_per_second: f64) -> bool {
+        if accepts_per_second.is_infinite() {
             (self.tokens, self.refilled_at) = (0.0, now);
             return true;
         }
         // At most a tenth of a second's worth at once: a larger burst would cause the next overload.
-        let capacity = (per_second / 10.0).max(1.0);
-        self.tokens = (self.tokens + (now - self.refilled_at).max(0.0) * per_second / 1000.0).min(capacity);
+        let capacity = (accepts_per_second / 10.0).max(1.0);
+        self.tokens =
+            (self.tokens + (now - self.refilled_at).max(0.0) * accepts_per_second / 1000.0).min(capacity);
         self.refilled_at = now;
         let may_accept = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(may_accept));
@@ -273,10 +277,10 @@
         fn any_clock_values_give_limits_within_bounds(
             updates in prop::collection::vec((-100.0f64..5_000.0, -100.0f64..5_000.0), 1..200)
         ) {
-            let (mut budget, mut now, mut used) = (Budget::new(0.2, 0.15, 0.05), 0.0, 0.0);
+            let (mut budget, mut now, mut used_ms) = (Budget::new(0.2, 0.15, 0.05), 0.0, 0.0);
             for (step, more_used) in updates {
-                (now, used) = (now + step, used + more_used);
-                let limits = budget.update(now, used, used.abs() as usize);
+                (now, used_ms) = (now + step, used_ms + more_used);
+                let limits = budget.update(now, used_ms, used_ms.abs() as usize);
                 prop_assert!(
                     limits.accepts_per_second >= 1.0
                         && (MIN_ADMITTED_SHARE..=1.0).contains(&limits.admitted_share)
--- a/crates/budget/tests/collapse.rs
+++ b/crates/budget/tests/collapse.rs
@@ -1,6 +1,6 @@
 //! Metastable overload (docs/incidents/processor-limit.md): guards against a router that stays overloaded
 //! after the trigger has gone, because clients retry, each retry costs processor time, and the process is
-//! stopped once its grant is used up. A small model in steps of 10 ms, with arrivals by a fixed seed. The
+//! paused once its grant is used up. A small model in steps of 10 ms, with arrivals by a fixed seed. The
 //! old router has a thread per connection and refuses only ops that are late already; the new one has no such
 //! threads and sheds load by its budget before ops are late.
 
@@ -12,12 +12,12 @@
 const STEP_MS: f64 = 10.0;
 /// Processor time to accept a connection, and to accept one whose client has already gone.
 const ACCEPT_COST_MS: f64 = 0.15;
-const DEAD_ACCEPT_COST_MS: f64 = 0.05;
+const GONE_CLIENT_ACCEPT_COST_MS: f64 = 0.05;
 /// Processor time to execute an op, to refuse one, and to answer a malformed message.
 const OP_COST_MS: f64 = 0.40;
 const REFUSAL_COST_MS: f64 = 0.08;
 const MALFORMED_COST_MS: f64 = 0.04;
-/// Processor time per thread that a stop of the process wakes.
+/// Processor time of each thread that is woken when a pause of the process ends.
 const THREAD_WAKE_COST_MS: f64 = 0.034;
 /// The processor time that the platform grants.
 const CORES: f64 = 0.2;
@@ -29,7 +29,7 @@
 const THINK_TIME_MS: f64 = 400.0;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+enum ClientKind {
     /// Sends ops and retries after the retry-after time.
     WellBehaved,
     /// Sends ops and retries at once, whatever the retry-after time.
@@ -41,15 +41,15 @@
 }
 
 struct Client {
-    kind: Kind,
+    kind: ClientKind,
     is_open: bool,
-    /// When it acts next; while it waits, since when.
+    /// When it acts next or, while it waits, when it began to wait.
     next_at: f64,
-    /// Waits for an answer or to be accepted.
+    /// Whether it waits for an answer or to be accepted.
     is_waiting: bool,
-    /// Distinguishes the answer to the present request from a late one.
+    /// The number of its current request, which distinguishes it from requests that have timed out.
     serial: u32,
-    /// Malformed messages, or retries before the retry-after time.
+    /// Malformed messages, or retries before the end of the retry-after time.
     violations: u32,
     /// The end of the retry-after time.
     retry_at: f64,
@@ -71,7 +71,7 @@
     limits: AdmissionLimits,
     accept_limiter: AcceptLimiter,
     now: f64,
-    used: f64,
+    used_ms: f64,
     cores: f64,
     /// Processor time left in the present step; negative where the last request took more.
     cpu_left_ms: f64,
@@ -94,7 +94,7 @@
             limits,
             accept_limiter: AcceptLimiter::default(),
             now: 0.0,
-            used: 0.0,
+            used_ms: 0.0,
             cores: CORES,
             cpu_left_ms: 0.0,
             served: 0,
@@ -103,15 +103,16 @@
         }
     }
 
-    fn random(&mut self) -> f64 {
+    /// A random number from 0 to 1, exclusive.
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / 4_294_967_296.0
     }
 
-    fn add(&mut self, count: usize, kind: Kind) {
+    fn add_clients(&mut self, count: usize, kind: ClientKind) {
         for _ in 0..count {
             // Well-behaved clients arrive spread over five seconds, floods almost at once.
-            let spread_ms = if kind == Kind::WellBehaved { 5_000.0 } else { THINK_TIME_MS };
-            let next_at = self.now + self.random() * spread_ms;
+            let spread_ms = if kind == ClientKind::WellBehaved { 5_000.0 } else { THINK_TIME_MS };
+            let next_at = self.now + self.random_fraction() * spread_ms;
             let client = Client {
                 kind,
                 is_open: false,
@@ -125,7 +126,7 @@
         }
     }
 
-    fn remove(&mut self, kind: Kind) {
+    fn remove_clients(&mut self, kind: ClientKind) {
         self.clients.retain(|client| client.kind != kind);
         self.backlog.clear();
         self.requests.clear();
@@ -140,7 +141,7 @@
             let client = &mut self.clients[index];
             if client.is_waiting && self.now - client.next_at >= CLIENT_TIMEOUT_MS {
                 // Client timeout: it disconnects and retries on a new connection.
-                self.timeouts += u32::from(client.kind == Kind::WellBehaved);
+                self.timeouts += u32::from(client.kind == ClientKind::WellBehaved);
                 (client.is_waiting, client.is_open, client.next_at) = (false, false, self.now);
                 client.serial += 1;
             }
@@ -159,13 +160,13 @@
 
     fn step(&mut self) {
         self.run_clients();
-        let granted = self.cores * STEP_MS;
-        self.cpu_left_ms = (self.cpu_left_ms + granted).min(MAX_SAVED_STEPS * granted);
+        let granted_ms = self.cores * STEP_MS;
+        self.cpu_left_ms = (self.cpu_left_ms + granted_ms).min(MAX_SAVED_STEPS * granted_ms);
         let cpu_at_start_ms = self.cpu_left_ms;
-        let mut is_stopped = false;
+        let mut is_paused = false;
         loop {
             if self.cpu_left_ms <= 0.0 {
-                is_stopped = true;
+                is_paused = true;
                 break;
             }
             // Connections to accept and requests take turns; with a budget the rate of accepting is limited.
@@ -183,18 +184,18 @@
             };
             self.handle(request);
         }
-        let mut used = cpu_at_start_ms - self.cpu_left_ms;
-        if is_stopped && !self.has_budget {
-            // Each stop wakes every thread, which uses up time of the next step.
+        let mut used_ms = cpu_at_start_ms - self.cpu_left_ms;
+        if is_paused && !self.has_budget {
+            // The end of each pause wakes every thread, which uses up time of the next step.
             let threads = self.clients.iter().filter(|client| client.is_open).count();
-            let cost = (threads as f64 * THREAD_WAKE_COST_MS).min(0.9 * granted);
-            self.cpu_left_ms -= cost;
-            used += cost;
+            let cost_ms = (threads as f64 * THREAD_WAKE_COST_MS).min(0.9 * granted_ms);
+            self.cpu_left_ms -= cost_ms;
+            used_ms += cost_ms;
         }
-        self.used += used;
+        self.used_ms += used_ms;
         self.now += STEP_MS;
         if self.has_budget && ((self.now / STEP_MS) as u64).is_multiple_of(5) {
-            self.limits = self.budget.update(self.now, self.used, self.refused);
+            self.limits = self.budget.update(self.now, self.used_ms, self.refused);
         }
     }
 
@@ -205,7 +206,7 @@
     fn accept(&mut self) {
         let Some(request) = self.backlog.pop_front() else { return };
         let is_current = self.is_current(&request);
-        self.cpu_left_ms -= if is_current { ACCEPT_COST_MS } else { DEAD_ACCEPT_COST_MS };
+        self.cpu_left_ms -= if is_current { ACCEPT_COST_MS } else { GONE_CLIENT_ACCEPT_COST_MS };
         if is_current {
             self.clients[request.client].is_open = true;
             self.requests.push_back(request);
@@ -218,13 +219,13 @@
             self.cpu_left_ms -= REFUSAL_COST_MS;
             return;
         }
-        let (shed_draw, jitter) = (self.random(), self.random());
+        let (shed_draw, jitter) = (self.random_fraction(), self.random_fraction());
         let limits = self.limits;
         let client = &mut self.clients[request.client];
         client.is_waiting = false;
         match client.kind {
-            Kind::ConnectsOnly => (client.is_open, client.next_at) = (false, self.now),
-            Kind::Malformed => {
+            ClientKind::ConnectsOnly => (client.is_open, client.next_at) = (false, self.now),
+            ClientKind::Malformed => {
                 self.cpu_left_ms -= MALFORMED_COST_MS;
                 client.violations += 1;
                 if client.violations.is_multiple_of(16) {
@@ -232,12 +233,12 @@
                 }
                 client.next_at = self.now;
             }
-            Kind::WellBehaved | Kind::IgnoresRetryAfter => {
+            ClientKind::WellBehaved | ClientKind::IgnoresRetryAfter => {
                 let is_late = self.now - request.queued_at > CLIENT_TIMEOUT_MS - STEP_MS;
                 let is_shed = self.has_budget && shed_draw > limits.admitted_share;
                 if !is_late && !is_shed {
                     self.cpu_left_ms -= OP_COST_MS;
-                    self.served += u32::from(client.kind == Kind::WellBehaved);
+                    self.served += u32::from(client.kind == ClientKind::WellBehaved);
                     client.next_at = self.now + THINK_TIME_MS;
                     return;
                 }
@@ -250,7 +251,8 @@
                     (client.is_open, client.violations) = (false, 0);
                 }
                 client.retry_at = self.now + retry_after_ms;
-                client.next_at = if client.kind == Kind::WellBehaved { client.retry_at } else { self.now };
+                client.next_at =
+                    if client.kind == ClientKind::WellBehaved { client.retry_at } else { self.now };
             }
         }
     }
@@ -273,25 +275,27 @@
 
 /// Ops served per second before a flood of two seconds, during it, and after it under the same load as
 /// before.
-fn rates_around_flood(has_budget: bool, kind: Kind, count: usize) -> (f64, f64, f64) {
+fn rates_around_flood(has_budget: bool, kind: ClientKind, count: usize) -> (f64, f64, f64) {
     let mut model = Model::new(has_budget);
-    model.add(clients_for(0.5), Kind::WellBehaved);
+    model.add_clients(clients_for(0.5), ClientKind::WellBehaved);
     // A long period of light load must not save up allowance for a burst.
     let before = model.run(30.0);
-    model.add(count, kind);
+    model.add_clients(count, kind);
     let during = model.run(2.0);
-    model.remove(kind);
+    model.remove_clients(kind);
     model.run(1.0);
     (before, during, model.run(5.0))
 }
 
 #[test]
 fn the_old_router_stays_overloaded_after_a_flood_and_the_new_one_recovers_within_a_second() {
-    for (kind, count) in [(Kind::IgnoresRetryAfter, 400), (Kind::Malformed, 200), (Kind::ConnectsOnly, 400)] {
+    for (kind, count) in
+        [(ClientKind::IgnoresRetryAfter, 400), (ClientKind::Malformed, 200), (ClientKind::ConnectsOnly, 400)]
+    {
         let (before, during, after) = rates_around_flood(true, kind, count);
         assert!(after >= 0.95 * before, "new: {before} {during} {after}");
     }
-    let (before, during, after) = rates_around_flood(false, Kind::IgnoresRetryAfter, 400);
+    let (before, during, after) = rates_around_flood(false, ClientKind::IgnoresRetryAfter, 400);
     assert!(before >= 0.9 * 250.0, "the old router served this load before: {before}");
     assert!(after < 0.5 * before, "old: {before} {during} {after}");
 }
@@ -300,20 +304,20 @@
 fn at_two_and_four_times_the_capacity_nine_tenths_of_the_peak_are_served() {
     let peak = [0.8, 0.9, 1.0, 1.1].map(|times| {
         let mut model = Model::new(true);
-        model.add(clients_for(times), Kind::WellBehaved);
+        model.add_clients(clients_for(times), ClientKind::WellBehaved);
         model.run(8.0);
         model.run(10.0)
     });
     let peak = peak.into_iter().fold(0.0, f64::max);
     for times in [2.0, 4.0] {
         let mut model = Model::new(true);
-        model.add(clients_for(times), Kind::WellBehaved);
+        model.add_clients(clients_for(times), ClientKind::WellBehaved);
         model.run(8.0);
         let served = model.run(10.0);
         assert!(served >= 0.9 * peak, "at {times}: {served} of {peak}");
         // The old router at the same load.
         let mut old = Model::new(false);
-        old.add(clients_for(times), Kind::WellBehaved);
+        old.add_clients(clients_for(times), ClientKind::WellBehaved);
         old.run(8.0);
         let served = old.run(10.0);
         assert!(served < 0.5 * peak, "old at {times}: {served} of {peak}");
@@ -322,12 +326,13 @@
 
 #[test]
 fn floods_of_connections_malformed_messages_and_ops_leave_capacity_to_well_behaved_clients() {
-    let all = [(Kind::ConnectsOnly, 300), (Kind::Malformed, 150), (Kind::IgnoresRetryAfter, 150)];
+    let all =
+        [(ClientKind::ConnectsOnly, 300), (ClientKind::Malformed, 150), (ClientKind::IgnoresRetryAfter, 150)];
     for floods in [&all[0..1], &all[1..2], &all[2..3], &all[..]] {
         let mut model = Model::new(true);
-        model.add(clients_for(0.5), Kind::WellBehaved);
+        model.add_clients(clients_for(0.5), ClientKind::WellBehaved);
         let before = model.run(10.0);
-        floods.iter().for_each(|(kind, count)| model.add(*count, *kind));
+        floods.iter().for_each(|(kind, count)| model.add_clients(*count, *kind));
         model.run(2.0);
         let during = model.run(10.0);
         assert!(during >= 0.4 * before, "{during} of {before} with {} floods", floods.len());
@@ -337,7 +342,7 @@
 #[test]
 fn the_limits_follow_a_grant_that_halves_during_overload_without_oscillating() {
     let mut model = Model::new(true);
-    model.add(clients_for(2.0), Kind::WellBehaved);
+    model.add_clients(clients_for(2.0), ClientKind::WellBehaved);
     model.run(10.0);
     let full = model.run(10.0);
     model.cores = CORES / 2.0;
@@ -346,14 +351,14 @@
     let seconds: Vec<f64> = (0..10).map(|_| model.run(1.0)).collect();
     let half = seconds.iter().sum::<f64>() / 10.0;
     assert!(half >= 0.42 * full, "{half} of {full}");
-    let least = seconds.iter().copied().fold(f64::INFINITY, f64::min);
-    assert!(least >= 0.6 * half, "rates oscillate: {seconds:?}");
+    let min_rate = seconds.iter().copied().fold(f64::INFINITY, f64::min);
+    assert!(min_rate >= 0.6 * half, "rates oscillate: {seconds:?}");
 }
 
 #[test]
 fn below_the_target_load_nothing_is_shed() {
     let mut model = Model::new(true);
-    model.add(clients_for(0.7), Kind::WellBehaved);
+    model.add_clients(clients_for(0.7), ClientKind::WellBehaved);
     for _ in 0..2_000 {
         model.step();
         assert!(
--- a/crates/members/src/suspicion.rs
+++ b/crates/members/src/suspicion.rs
@@ -27,8 +27,8 @@
     }
 
     /// An upper bound of the time from a member's death until this router declares it dead, even without
-    /// updates from others: a round of probes and the longest suspicion. Simulated tiers in tests rely on this
-    /// bound.
+    /// updates from others: a round of probes and the longest suspicion. Simulated tiers in tests rely on
+    /// this bound.
     pub fn detection_bound_ms(&self) -> f64 {
         let round = 2.0 * self.roster.len() as f64 + 2.0;
         let longest_suspicion_ms = self.suspicion_timeout_ms() * f64::from(1 + MAX_HEALTH_PENALTY);
--- a/crates/sessions/src/positions.rs
+++ b/crates/sessions/src/positions.rs
@@ -15,7 +15,7 @@
 
 #[derive(Clone, Debug)]
 struct Shard {
-    /// The bits of each session's position.
+    /// The bits of each session's position, by session id.
     by_session: HashMap<u64, u64>,
     /// The same entries as (position, session), the oldest first.
     by_position: BTreeSet<(u64, u64)>,
@@ -64,7 +64,7 @@
         }
     }
 
-    fn required(&self, session: u64) -> f64 {
+    fn required_position(&self, session: u64) -> f64 {
         let bits = self.by_session.get(&session);
         bits.map_or(f64::NEG_INFINITY, |bits| f64::from_bits(*bits)).max(self.floor)
     }
@@ -78,14 +78,14 @@
         SessionPositions { shards: vec![Shard::new(); shards], shard_capacity }
     }
 
-    /// Sessions are hashes already, so a remainder spreads them evenly; the maps' own hashing uses the high
-    /// bits.
+    /// Session ids are hashes already, so a remainder spreads them evenly; the maps' own hashing uses their
+    /// high bits.
     fn shard_index(&self, session: u64) -> usize {
         (session % self.shards.len() as u64) as usize
     }
 
     /// Records a commit of the session that was acknowledged, or is about to be. A position that is not a
-    /// valid time is ignored, and so is one before the session's last.
+    /// valid time is ignored, and so is one before the session's last position.
     pub fn record(&mut self, session: u64, position: f64) {
         if !position.is_finite() || position < 0.0 {
             return;
@@ -100,24 +100,24 @@
 
     /// The position from which on the session sees its acknowledged writes that came through this router;
     /// minus infinity where there are none.
-    pub fn required(&self, session: u64) -> f64 {
-        self.shards[self.shard_index(session)].required(session)
+    pub fn required_position(&self, session: u64) -> f64 {
+        self.shards[self.shard_index(session)].required_position(session)
     }
 
-    /// Makes all sessions require at least this position from now on: after a restart all that the last
-    /// incarnation acknowledged lies before it. Positions below it need not be kept.
+    /// Makes all sessions require at least this position from now on: after a restart, all commits that the
+    /// previous incarnation acknowledged lie before it. Positions below it are removed.
     pub fn raise_floor(&mut self, floor: f64) {
         if floor.is_finite() {
             self.shards.iter_mut().for_each(|shard| shard.raise_floor(floor));
         }
     }
 
-    /// How many positions are kept.
+    /// How many positions are stored.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.by_session.len()).sum()
     }
 
-    /// Whether no position is kept.
+    /// Whether no position is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/sessions/src/requests.rs
+++ b/crates/sessions/src/requests.rs
@@ -3,33 +3,34 @@
 //!
 //! A reply counts for a read only if it was requested after that read had arrived: a write acknowledged
 //! through a peer before then is in the peer's reply, as a router records a commit before it writes the
-//! client's answer. So loss, delay, duplication and reordering can cost a reply, never make it wrong. A
-//! peer that has not replied to several requests in a row is silent: it may still serve clients that this
-//! router can't see, so until a message from it arrives reads are resolved as fresh reads at once instead of
-//! waiting for it.
+//! client's answer. So loss, delay, duplication and reordering can cost a reply, never make it wrong.
+//!
+//! A peer that has not replied to several requests in a row is silent. It may still acknowledge writes of its
+//! own clients, so until a message from it arrives, reads are resolved as fresh reads at once instead of
+//! waiting for its replies. Times are in ms.
 
 use crate::peer_set::{MAX_PEERS, PeerSet};
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeSet, HashMap};
 
-/// The requests per second divided by those that may be sent at once.
+/// The requests per second divided by those that may be sent in one burst.
 const BURSTS_PER_SECOND: f64 = 10.0;
 
-/// Intervals, in ms, and limits.
+/// Intervals and limits of the requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// A request without a reply is retried after this time.
     pub retry_interval_ms: f64,
-    /// How often a request is sent in total.
+    /// How many times a request is sent in total.
     pub max_attempts: u32,
-    /// A peer is silent once it has missed this many requests in a row.
+    /// A peer is silent once it has left this many requests in a row unanswered.
     pub max_misses: u32,
     /// Silent peers are pinged at this interval.
     pub ping_interval_ms: f64,
-    /// Requests sent to peers per second; beyond it reads are fresh at once. A tenth of it may be sent at
-    /// once.
+    /// Requests sent to peers per second; beyond it, reads are resolved as fresh reads at once. A tenth of it
+    /// may be sent in one burst.
     pub requests_per_second: f64,
-    /// Reads that may wait for replies at once; beyond it reads are fresh at once.
+    /// Reads that may wait for replies at the same time; further ones are resolved as fresh reads at once.
     pub max_waiting_reads: usize,
 }
 
@@ -81,7 +82,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
-    /// Requests in a row without a reply.
+    /// Requests in a row that it left unanswered.
     misses: u32,
     pinged_at: Option<f64>,
 }
@@ -118,8 +119,9 @@
 }
 
 impl PositionRequests {
-    /// A tier with `peers` other routers. Requests are numbered from `first_request`, which differs for
-    /// each incarnation of the router, so that late replies to an earlier one match no request of this one.
+    /// The requests of a router with `peers` other routers in its tier. They are numbered from
+    /// `first_request`, which differs for each incarnation of the router, so that late replies to an earlier
+    /// one match no request of this one.
     pub fn new(peers: usize, limits: Limits, first_request: u64) -> PositionRequests {
         PositionRequests {
             limits,
@@ -135,17 +137,17 @@
         }
     }
 
-    /// How many peers are silent.
+    /// The number of silent peers.
     pub fn silent_peers(&self) -> usize {
         self.silent_set().len() as usize
     }
 
-    /// How many reads wait for replies.
+    /// The number of reads that wait for replies.
     pub fn waiting_reads(&self) -> usize {
         self.waiting.len()
     }
 
-    /// When [`PositionRequests::tick`] is due next; none while no read waits and no peer is silent.
+    /// When [`PositionRequests::tick`] is due next; `None` while no read waits and no peer is silent.
     pub fn next_tick_at(&self, now: f64) -> Option<f64> {
         let retry = self.retries.first().map(|(due, _)| *due as f64);
         let ping = (self.silent_peers() > 0).then_some(now + self.limits.ping_interval_ms);
@@ -191,8 +193,8 @@
     }
 
     /// A peer replied to a request of this incarnation with the position from which on the session sees its
-    /// writes. A reply to no open request only shows that the peer is alive, and so does one with an
-    /// invalid position.
+    /// writes. A reply to no outstanding request only shows that the peer is alive, and so does one
+    /// with an invalid position.
     pub fn receive_reply(&mut self, peer: usize, request: u64, position: f64, actions: &mut Vec<Action>) {
         self.receive_ack(peer);
         let Some(waiting) = self.waiting.get_mut(&request) else { return };
@@ -217,7 +219,7 @@
         }
     }
 
-    /// Retries due requests, gives up those that reached their attempts, pings silent peers.
+    /// Retries the requests that are due, gives up those without attempts left, and pings silent peers.
     pub fn tick(&mut self, now: f64, actions: &mut Vec<Action>) {
         while let Some((due, request)) = self.retries.first().copied()
             && due as f64 <= now
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Resolves the read as a fresh one; its peers without a reply have missed a request.
+    /// Resolves the read as a fresh one and counts a miss of each peer that did not reply.
     fn give_up(&mut self, request: u64, unanswered: PeerSet, actions: &mut Vec<Action>) {
         for peer in unanswered.iter() {
             self.peers[peer].misses += 1;
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Sends the request again to the peers without a reply.
+    /// Resends the request to the peers that have not replied yet.
     fn retry(&mut self, now: f64, request: u64, actions: &mut Vec<Action>) {
         let Some(waiting) = self.waiting.get_mut(&request) else { return };
         waiting.attempts += 1;
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Reads that wait for a peer that has just become silent need not go on waiting.
+    /// Resolves reads that wait for a silent peer as fresh reads.
     fn give_up_on_silent_peers(&mut self, actions: &mut Vec<Action>) {
         let silent = self.silent_set();
         if silent.is_empty() {
--- a/crates/sessions/src/token_bucket/tests.rs
+++ b/crates/sessions/src/token_bucket/tests.rs
@@ -8,7 +8,6 @@
     assert!(!bucket.take(60_000.0, 11) && bucket.take(60_000.0, 10));
 }
 
-/// The clock may run backwards.
 #[test]
 fn a_clock_that_runs_backwards_refills_nothing() {
     let mut bucket = TokenBucket::new(1_000.0, 10.0);
--- a/crates/sessions/tests/tier.rs
+++ b/crates/sessions/tests/tier.rs
@@ -11,8 +11,8 @@
 
 const ROUTERS: usize = 3;
 const SESSIONS: u64 = 60;
-/// Clocks of routers and hosts differ by less than this, in ms.
-const MAX_CLOCK_DIFFERENCE: f64 = 2_000.0;
+/// Clocks of routers and hosts differ by less than this.
+const MAX_CLOCK_SKEW_MS: f64 = 2_000.0;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Defect {
@@ -40,8 +40,8 @@
 struct Router {
     positions: SessionPositions,
     requests: PositionRequests,
-    /// How far its clock is ahead, in ms.
-    clock_offset: f64,
+    /// How far its clock is ahead of the true time.
+    clock_offset_ms: f64,
     incarnation: u64,
 }
 
@@ -59,7 +59,9 @@
     /// The position that each waiting read must at least require, by its number.
     expected: HashMap<u64, f64>,
     reads: u64,
+    /// Reads resolved with a known position.
     known: u64,
+    /// Reads resolved below the position that they must at least require.
     stale: u64,
     /// The router that is cut off, and until when.
     partition: Option<(usize, f64)>,
@@ -69,9 +71,9 @@
     fn new(seed: u64, loss: f64, defect: Defect) -> Tier {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let router = |_| {
-            let clock_offset = f64::from(rng.next_u32() % 2_000) - 1_000.0;
+            let clock_offset_ms = f64::from(rng.next_u32() % 2_000) - 1_000.0;
             let requests = PositionRequests::new(ROUTERS - 1, Limits::default(), 1);
-            Router { positions: new_positions(), requests, clock_offset, incarnation: 0 }
+            Router { positions: new_positions(), requests, clock_offset_ms, incarnation: 0 }
         };
         let routers = (0..ROUTERS).map(router).collect();
         Tier {
@@ -91,7 +93,8 @@
         }
     }
 
-    fn draw(&mut self) -> f64 {
+    /// A random number from 0 to 1, exclusive.
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / 4_294_967_296.0
     }
 
@@ -111,17 +114,21 @@
 
     fn send(&mut self, from: usize, to: usize, message: impl Fn() -> Message) {
         let is_cut_off = self.is_cut_off(from) || self.is_cut_off(to);
-        let copies = if self.draw() < 0.1 { 2 } else { 1 };
+        let copies = if self.random_fraction() < 0.1 { 2 } else { 1 };
         for _ in 0..copies {
-            let delay = if self.draw() < 0.02 { 3_000.0 * self.draw() } else { 3.0 * self.draw() };
-            if self.draw() >= self.loss && !is_cut_off {
+            let delay_ms = if self.random_fraction() < 0.02 {
+                3_000.0 * self.random_fraction()
+            } else {
+                3.0 * self.random_fraction()
+            };
+            if self.random_fraction() >= self.loss && !is_cut_off {
                 self.sent += 1;
-                self.in_flight.insert(((self.now + delay) as u64, self.sent), (to, message()));
+                self.in_flight.insert(((self.now + delay_ms) as u64, self.sent), (to, message()));
             }
         }
     }
 
-    fn act(&mut self, router: usize, actions: Vec<Action>) {
+    fn perform_actions(&mut self, router: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Request { peer, request, session } => {
@@ -132,13 +139,13 @@
                     let to = Tier::router_index(router, peer);
                     self.send(router, to, || Message::Ping { from: router });
                 }
-                Action::Resolved { read, required } => self.check(read, required),
+                Action::Resolved { read, required } => self.record_resolution(read, required),
             }
         }
     }
 
     /// Counts a resolved read; panics where it was resolved before.
-    fn check(&mut self, read: u64, required: RequiredPosition) {
+    fn record_resolution(&mut self, read: u64, required: RequiredPosition) {
         let Some(expected) = self.expected.remove(&read) else { panic!("read {read} resolved twice") };
         if let RequiredPosition::AtLeast(position) = required {
             self.known += 1;
@@ -150,7 +157,7 @@
         let mut actions = Vec::new();
         match message {
             Message::Request { from, request, session } => {
-                let position = self.routers[to].positions.required(session);
+                let position = self.routers[to].positions.required_position(session);
                 self.send(to, from, || Message::Reply { from: to, request, position });
             }
             Message::Reply { from, request, position } => {
@@ -160,20 +167,20 @@
             Message::Ping { from } => self.send(to, from, || Message::Ack { from: to }),
             Message::Ack { from } => self.routers[to].requests.receive_ack(Tier::peer_index(to, from)),
         }
-        self.act(to, actions);
+        self.perform_actions(to, actions);
     }
 
     /// The router loses its waiting reads, whose clients retry them elsewhere, and its positions.
     fn restart(&mut self, router: usize) {
         self.expected.retain(|read, _| read >> READ_BITS != router as u64);
-        let clock_offset = self.routers[router].clock_offset;
+        let clock_offset_ms = self.routers[router].clock_offset_ms;
         let incarnation = self.routers[router].incarnation + 1;
         let mut positions = new_positions();
         if self.defect != Defect::NoFloor {
-            positions.raise_floor(self.now + clock_offset + MAX_CLOCK_DIFFERENCE);
+            positions.raise_floor(self.now + clock_offset_ms + MAX_CLOCK_SKEW_MS);
         }
         let requests = PositionRequests::new(ROUTERS - 1, Limits::default(), incarnation << 32);
-        self.routers[router] = Router { positions, requests, clock_offset, incarnation };
+        self.routers[router] = Router { positions, requests, clock_offset_ms, incarnation };
     }
 
     fn step(&mut self) {
@@ -184,7 +191,7 @@
         for _ in 0..2 {
             let router = self.rng.next_u32() as usize % ROUTERS;
             let session = u64::from(self.rng.next_u32()) % SESSIONS;
-            if self.draw() < 0.3 {
+            if self.random_fraction() < 0.3 {
                 self.write(router, session);
             } else {
                 self.read(router, session);
@@ -203,18 +210,18 @@
     }
 
     fn inject_faults(&mut self) {
-        if self.draw() < 0.000_5 {
+        if self.random_fraction() < 0.000_5 {
             let router = self.rng.next_u32() as usize % ROUTERS;
             self.restart(router);
         }
-        if self.draw() < 0.000_1 {
+        if self.random_fraction() < 0.000_1 {
             self.partition = Some((self.rng.next_u32() as usize % ROUTERS, self.now + 3_000.0));
         }
     }
 
     /// A write is acknowledged; its position is by the host's clock, which all share, not by the router's.
     fn write(&mut self, router: usize, session: u64) {
-        let position = self.now + self.draw();
+        let position = self.now + self.random_fraction();
         self.routers[router].positions.record(session, position);
         let last = self.acknowledged.entry(session).or_insert(position);
         *last = last.max(position);
@@ -225,7 +232,7 @@
         let read = ((router as u64) << READ_BITS) | self.reads;
         let expected = self.acknowledged.get(&session).copied().unwrap_or(f64::NEG_INFINITY);
         self.expected.insert(read, expected);
-        let own_position = self.routers[router].positions.required(session);
+        let own_position = self.routers[router].positions.required_position(session);
         let mut actions = Vec::new();
         if self.defect == Defect::NoRequests {
             let required = RequiredPosition::AtLeast(own_position);
@@ -234,14 +241,14 @@
             let requests = &mut self.routers[router].requests;
             requests.read_arrived(self.now, read, session, own_position, &mut actions);
         }
-        self.act(router, actions);
+        self.perform_actions(router, actions);
     }
 
     fn tick(&mut self) {
         for router in 0..ROUTERS {
             let mut actions = Vec::new();
             self.routers[router].requests.tick(self.now, &mut actions);
-            self.act(router, actions);
+            self.perform_actions(router, actions);
         }
     }
 
@@ -257,10 +264,15 @@
         for loss in [0.0, 0.1, 0.3] {
             let tier = Tier::new(seed, loss, Defect::None).run(20_000);
             assert_eq!(tier.stale, 0, "seed {seed}, loss {loss}: of {} known of {}", tier.known, tier.reads);
-            // Nor may all reads be fresh reads: partitions, restarts and late replies account for a part
-            // only.
-            let least = if loss < 0.2 { 0.5 } else { 0.1 };
-            assert!(tier.known as f64 > least * tier.reads as f64, "{} of {}", tier.known, tier.reads);
+            // Nor may all reads be fresh reads: partitions, restarts and late replies cause only a part of
+            // them.
+            let min_known_share = if loss < 0.2 { 0.5 } else { 0.1 };
+            assert!(
+                tier.known as f64 > min_known_share * tier.reads as f64,
+                "{} of {}",
+                tier.known,
+                tier.reads
+            );
         }
     }
 }
@@ -273,7 +285,7 @@
     assert!(without_floor > 0);
 }
 
-/// Every read is resolved, and once: the model above panics on a second time.
+/// Every read is resolved, and only once: the simulated tier panics if one is resolved twice.
 #[test]
 fn every_read_is_resolved_in_a_few_attempts_however_much_is_lost() {
     for loss in [0.3, 1.0] {
@@ -288,8 +300,8 @@
     }
 }
 
-/// Reads beyond the rate limit of requests, or beyond those that may wait, are fresh at once and send
-/// nothing.
+/// Reads beyond the rate limit of requests, or beyond the limit of waiting reads, are resolved as fresh reads
+/// at once and send nothing.
 #[test]
 fn a_flood_of_reads_keeps_to_the_request_rate() {
     let limits = Limits { requests_per_second: 1_000.0, max_waiting_reads: 5_000, ..Limits::default() };
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -14,11 +14,11 @@
 
 /// The odd multiplier of a score's second number, so that exchanging the two gives another score.
 const SECOND_MULTIPLIER: u64 = 0xc2b2_ae3d_27d4_eb4f;
-/// The smallest weight of a replica relative to its capacity: above 0, so that it is still chosen when all
+/// The smallest weight of a replica relative to its capacity: above 0, so that it is still chosen if all
 /// nearer ones are lost.
 const MIN_WEIGHT: f64 = 1e-6;
 
-/// A member of a tier that counts: its number, and its zone.
+/// A counted member of a tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Router {
     /// The member's number.
@@ -35,7 +35,7 @@
     /// The index of its zone.
     pub zone: usize,
     /// Its capacity relative to others, above 0.
-    pub size: f64,
+    pub capacity: f64,
 }
 
 /// A hash of two numbers, the same at every router and in every version.
@@ -48,12 +48,18 @@
     ((score >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// This router's rank among those that probe a host: 0 for the first, none where it isn't one of the
-/// `count` with the highest scores. All routers with the same view of the members agree on them.
-pub fn probe_rank(key: u32, me: u16, members: impl Iterator<Item = u16>, count: usize) -> Option<usize> {
+/// The rank of the router with number `own_number` among those that probe the host `key`: 0 for the first,
+/// `None` if it isn't one of the `count` with the highest scores. All routers with the same view of the
+/// members agree on them.
+pub fn probe_rank(
+    key: u32,
+    own_number: u16,
+    members: impl Iterator<Item = u16>,
+    count: usize,
+) -> Option<usize> {
     let score_of = |member: u16| (score(u64::from(key), u64::from(member)), member);
-    let own_score = score_of(me);
-    let rank = members.filter(|member| *member != me && score_of(*member) > own_score).count();
+    let own_score = score_of(own_number);
+    let rank = members.filter(|member| *member != own_number && score_of(*member) > own_score).count();
     (rank < count).then_some(rank)
 }
 
@@ -61,8 +67,8 @@
 /// zone has capacity.
 ///
 /// `capacity` is what each zone's replicas can serve, `offered` the share of all reads that each zone's
-/// routers offer (in all 1), `zone` the zone asked about. It keeps its reads up to `local_factor` times its
-/// share of the capacity; the rest goes to zones with more capacity than their own routers need, in
+/// routers offer (in all 1), `zone` the zone whose reads are divided. It keeps its reads up to `local_factor`
+/// times its share of the capacity; the rest goes to zones with more capacity than their own routers need, in
 /// proportion to the surplus.
 pub fn zone_shares(capacity: &[f64], offered: &[f64], zone: usize, local_factor: f64) -> Vec<f64> {
     let total: f64 = capacity.iter().sum();
@@ -93,30 +99,30 @@
     (capacity[zone] - total * own_offered).max(0.0)
 }
 
-/// The indexes of those of a group's replicas that a router keeps connections to, the most preferred first:
-/// `count` of them, or all where there are fewer.
+/// The indexes of the replicas of a group that `router` keeps connections to, the most preferred first:
+/// `count` of them, or all if there are fewer.
 ///
 /// They are chosen by weighted rendezvous hashing, the least `-ln(u)/w` first. A replica's weight is its
 /// share of its zone's capacity, times what this router's zone sends there (see [`zone_shares`]), so that a
 /// zone's routers don't overload the few local replicas.
 pub fn preferred_replicas(
     group: u32,
-    me: Router,
+    router: Router,
     members: &[Router],
     replicas: &[Replica],
     count: usize,
     local_factor: f64,
 ) -> Vec<usize> {
-    let zones = zone_count(me, members, replicas);
+    let zones = zone_count(router, members, replicas);
     let capacity = capacity_by_zone(replicas, zones);
-    let shares = zone_shares(&capacity, &offered_by_zone(members, zones), me.zone, local_factor);
+    let shares = zone_shares(&capacity, &offered_by_zone(members, zones), router.zone, local_factor);
     let weight = |replica: &Replica| {
         let zone_share = shares.get(replica.zone).copied().unwrap_or(0.0);
         let zone_capacity = capacity[replica.zone].max(f64::MIN_POSITIVE);
-        (zone_share * replica.size / zone_capacity).max(MIN_WEIGHT * replica.size)
+        (zone_share * replica.capacity / zone_capacity).max(MIN_WEIGHT * replica.capacity)
     };
     let distance = |replica: &Replica| {
-        let hash = score(u64::from(replica.key) ^ u64::from(group) << 32, u64::from(me.number) + 1);
+        let hash = score(u64::from(replica.key) ^ u64::from(group) << 32, u64::from(router.number) + 1);
         -unit_interval(hash).ln() / weight(replica).max(f64::MIN_POSITIVE)
     };
     let mut order: Vec<(f64, usize)> =
@@ -126,16 +132,16 @@
 }
 
 /// One more than the largest zone index.
-fn zone_count(me: Router, members: &[Router], replicas: &[Replica]) -> usize {
+fn zone_count(router: Router, members: &[Router], replicas: &[Replica]) -> usize {
     let members = members.iter().map(|member| member.zone);
     let replicas = replicas.iter().map(|replica| replica.zone);
-    members.chain(replicas).fold(me.zone, usize::max) + 1
+    members.chain(replicas).fold(router.zone, usize::max) + 1
 }
 
 fn capacity_by_zone(replicas: &[Replica], zones: usize) -> Vec<f64> {
     let mut capacity = vec![0.0; zones];
     for replica in replicas {
-        capacity[replica.zone] += replica.size.max(0.0);
+        capacity[replica.zone] += replica.capacity.max(0.0);
     }
     capacity
 }
@@ -150,8 +156,8 @@
     offered
 }
 
-/// A router's share of an allowance for the whole tier, such as that of a cold host: one over the members
-/// that count, and never more than one over `floor`, the smallest number of members that any router may
+/// A router's share of an allowance for the whole tier, such as that of a cold host: one over the number of
+/// counted members, and never more than one over `floor`, the smallest number of members that any router may
 /// count. While routers have different views of the members, the sum is at most `live routers / floor`.
 pub fn allowance(counted: usize, floor: usize) -> f64 {
     1.0 / counted.max(floor).max(1) as f64
--- a/crates/shares/src/tests.rs
+++ b/crates/shares/src/tests.rs
@@ -13,15 +13,15 @@
 }
 
 fn replicas(zones: &[usize]) -> Vec<Replica> {
-    let one = |(i, zone): (usize, &usize)| Replica { key: 1_000 + i as u32 * 17, zone: *zone, size: 1.0 };
+    let one = |(i, zone): (usize, &usize)| Replica { key: 1_000 + i as u32 * 17, zone: *zone, capacity: 1.0 };
     zones.iter().enumerate().map(one).collect()
 }
 
 /// How many routers' first choice each replica is.
 fn first_choices(members: &[Router], replicas: &[Replica], local_factor: f64) -> Vec<usize> {
     let mut counts = vec![0; replicas.len()];
-    for me in members {
-        counts[preferred_replicas(9, *me, members, replicas, 1, local_factor)[0]] += 1;
+    for router in members {
+        counts[preferred_replicas(9, *router, members, replicas, 1, local_factor)[0]] += 1;
     }
     counts
 }
@@ -35,10 +35,10 @@
     // Three in one zone, one in the next, none in the last: 75 each is fair.
     let skewed = first_choices(&members, &replicas(&[0, 0, 0, 1]), 1.0);
     assert!(skewed.iter().all(|count| (55..=95).contains(count)), "{skewed:?}");
-    // Sizes count.
-    let mut sized = replicas(&[0, 0, 0]);
-    sized[2].size = 2.0;
-    let counts = first_choices(&members, &sized, 1.0);
+    // A replica with twice the capacity is the first choice of twice as many routers.
+    let mut unequal = replicas(&[0, 0, 0]);
+    unequal[2].capacity = 2.0;
+    let counts = first_choices(&members, &unequal, 1.0);
     assert!((125..=175).contains(&counts[2]), "{counts:?}");
 }
 
@@ -67,7 +67,7 @@
         members
             .iter()
             .copied()
-            .find(|me| probe_rank(key, *me, members.iter().copied(), 1) == Some(0))
+            .find(|router| probe_rank(key, *router, members.iter().copied(), 1) == Some(0))
             .unwrap()
     };
     let mut counts = vec![0; 300];
@@ -95,7 +95,7 @@
     /// Over all zones, none gets more than the local factor times its share, and all offered reads are
     /// assigned.
     #[test]
-    fn shares_of_all_zones_are_even(
+    fn no_zone_gets_more_than_the_local_factor_times_its_share_of_the_capacity(
         capacity in prop::collection::vec(0u8..5, 1..6),
         local_factor in 1.0f64..2.0,
     ) {
@@ -103,20 +103,22 @@
         let offered = vec![1.0 / capacity.len() as f64; capacity.len()];
         let total: f64 = capacity.iter().sum();
         prop_assume!(total > 0.0);
-        let mut got = vec![0.0; capacity.len()];
+        let mut assigned = vec![0.0; capacity.len()];
         for zone in 0..capacity.len() {
             let shares = zone_shares(&capacity, &offered, zone, local_factor);
             prop_assert!((shares.iter().sum::<f64>() - 1.0).abs() < 1e-9);
-            shares.iter().zip(&mut got).for_each(|(share, got)| *got += share * offered[zone]);
+            shares.iter().zip(&mut assigned).for_each(|(share, assigned)| *assigned += share * offered[zone]);
         }
-        for (got, zone_capacity) in got.iter().zip(&capacity) {
-            prop_assert!(*got <= zone_capacity / total * local_factor + 1e-9, "{:?} {:?}", got, capacity);
+        for (assigned, zone_capacity) in assigned.iter().zip(&capacity) {
+            prop_assert!(
+                *assigned <= zone_capacity / total * local_factor + 1e-9,
+                "{:?} {:?}", assigned, capacity
+            );
         }
     }
 
-    /// In one zone a member that leaves changes no other member's replicas.
     #[test]
-    fn choices_are_stable(
+    fn in_one_zone_a_member_that_leaves_changes_no_other_members_replicas(
         router_count in 12u16..60,
         removed in any::<prop::sample::Index>(),
         key in any::<u32>(),
@@ -126,16 +128,16 @@
         let without: Vec<Router> = all.iter().copied().filter(|member| member.number != removed).collect();
         let mut replicas = replicas(&[0; 6]);
         replicas[3].key = key;
-        for me in &without {
-            let before = preferred_replicas(4, *me, &all, &replicas, 2, 1.0);
-            prop_assert_eq!(before, preferred_replicas(4, *me, &without, &replicas, 2, 1.0));
+        for router in &without {
+            let before = preferred_replicas(4, *router, &all, &replicas, 2, 1.0);
+            prop_assert_eq!(before, preferred_replicas(4, *router, &without, &replicas, 2, 1.0));
         }
     }
 
     /// In several zones, at most 2/N of all pairs of a router and a preferred replica change when a member
     /// leaves.
     #[test]
-    fn in_several_zones_few_choices_change(
+    fn in_several_zones_few_choices_change_when_a_member_leaves(
         router_count in 30u16..120,
         removed in any::<prop::sample::Index>(),
         zones in prop::collection::vec(0usize..3, 4..8),
@@ -146,9 +148,9 @@
         let replicas = replicas(&zones);
         let (mut moved, mut pairs) = (0, 0);
         for group in 0..20 {
-            for me in &without {
-                let before = preferred_replicas(group, *me, &all, &replicas, 2, 1.25);
-                let after = preferred_replicas(group, *me, &without, &replicas, 2, 1.25);
+            for router in &without {
+                let before = preferred_replicas(group, *router, &all, &replicas, 2, 1.25);
+                let after = preferred_replicas(group, *router, &without, &replicas, 2, 1.25);
                 moved += before.iter().filter(|b| !after.contains(b)).count();
                 pairs += before.len();
             }
@@ -159,18 +161,18 @@
         );
     }
 
-    /// Whatever its view of the members, a router has as many replicas as there are up to the count, none
-    /// twice.
+    /// Whatever its view of the members, a router prefers as many replicas as there are, up to the count, and
+    /// none twice.
     #[test]
-    fn every_router_has_its_replicas(
+    fn every_router_prefers_distinct_replicas_up_to_the_count(
         router_count in 1u16..40,
-        me in 0u16..60,
+        router in 0u16..60,
         zones in prop::collection::vec(0usize..5, 0..9),
         count in 0usize..5,
     ) {
         let replicas = replicas(&zones);
         let kept = preferred_replicas(
-            1, Router { number: me, zone: 2 }, &routers(router_count, 3), &replicas, count, 1.25
+            1, Router { number: router, zone: 2 }, &routers(router_count, 3), &replicas, count, 1.25
         );
         let mut seen = kept.clone();
         seen.sort_unstable();
@@ -195,7 +197,7 @@
     fn every_side_of_a_partitioned_tier_probes_each_host(split in 1u16..59, key in any::<u32>()) {
         for side in [0..split, split..60] {
             let members: Vec<u16> = side.collect();
-            let rank = |me: &u16| probe_rank(key, *me, members.iter().copied(), 2);
+            let rank = |router: &u16| probe_rank(key, *router, members.iter().copied(), 2);
             prop_assert_eq!(members.iter().filter_map(rank).count(), members.len().min(2));
         }
     }
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -14,8 +14,8 @@
     pub direct_ping_interval_ms: f64,
     /// About how many direct pings a second each member of a stale zone gets from all routers together.
     pub direct_pings_per_second: f64,
-    /// While the zones of some members are unknown, a batch of the zone map is requested from another router at
-    /// this interval.
+    /// While the zones of some members are unknown, a batch of the zone map is requested from another router
+    /// at this interval.
     pub map_request_interval_ms: f64,
     /// Time between two ticks beyond which this router's own process is taken to have been paused.
     pub pause_threshold_ms: f64,
--- a/crates/zones/src/map.rs
+++ b/crates/zones/src/map.rs
@@ -1,6 +1,6 @@
 //! Which zone each member of the roster is in, as far as known. A member states its own zone in its
-//! datagrams; the rest is learned from other routers, which are asked for the batches of the map in which some
-//! zone is unknown.
+//! datagrams; the rest is learned from other routers, which are asked for the batches of the map in which
+//! some zone is unknown.
 
 use crate::MAX_ZONES;
 
