--- a/crates/facts/src/tests.rs
+++ b/crates/facts/src/tests.rs
@@ -4,6 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
+/// The time at which facts are received, in Unix ms.
 const NOW: f64 = 1_000_000.0;
 
 fn config() -> Config {
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -31,7 +31,7 @@
     identity: Identity,
     clock_offset_ms: f64,
     router: Option<Router>,
-    paused: bool,
+    is_paused: bool,
     inbox: Vec<Datagram>,
     sent: Vec<Datagram>,
     /// Traffic sent by all processes of this member so far.
@@ -60,13 +60,13 @@
             .map(|number| Slot {
                 identity: Identity {
                     number: number as u16,
-                    roster: plan.routers,
+                    roster_size: plan.routers,
                     zone: (number % plan.zones) as u8,
                     seed: random::number(plan.seed, &[number as u64]),
                 },
                 clock_offset_ms: 0.0,
                 router: None,
-                paused: false,
+                is_paused: false,
                 inbox: Vec::new(),
                 sent: Vec::new(),
                 traffic: Traffic::default(),
@@ -114,7 +114,7 @@
     pub fn start_router(&mut self, number: usize) -> Result<(), RosterError> {
         let now = self.now();
         let slot = &mut self.slots[number];
-        slot.paused = false;
+        slot.is_paused = false;
         slot.router = Some(Router::start(slot.identity, now, slot.clock_offset_ms, self.plan.limits)?);
         Ok(())
     }
@@ -125,8 +125,8 @@
     }
 
     /// Pauses or resumes the process, like SIGSTOP and SIGCONT.
-    pub fn set_paused(&mut self, number: usize, paused: bool) {
-        self.slots[number].paused = paused;
+    pub fn set_paused(&mut self, number: usize, is_paused: bool) {
+        self.slots[number].is_paused = is_paused;
     }
 
     /// Sets the clock offset of processes that are started from now on.
@@ -194,7 +194,7 @@
 
 impl Slot {
     fn advance(&mut self, step: u64, now: f64) {
-        if self.paused {
+        if self.is_paused {
             // Arriving datagrams stay in the socket's buffer, which is bounded.
             self.inbox.truncate(SOCKET_BUFFER_DATAGRAMS);
             return;
--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -55,17 +55,17 @@
     known.sum::<f64>() / observers.len().max(1) as f64
 }
 
-/// The share of zones reported as cut off, among those that the observers report as unreachable.
+/// The share of zones reported as cut off, among those that the observers report as silent.
 pub fn share_reported_cut_off(fleet: &Fleet, observers: &[usize]) -> f64 {
-    let (mut unreachable, mut cut_off) = (0usize, 0usize);
+    let (mut silent, mut cut_off) = (0usize, 0usize);
     for router in observers.iter().filter_map(|number| fleet.router(*number)) {
         for zone in 0..fleet.plan().zones {
             let reachability = router.reachability(zone);
-            unreachable += usize::from(reachability != Reachability::Reachable);
+            silent += usize::from(reachability != Reachability::Reachable);
             cut_off += usize::from(reachability == Reachability::CutOff);
         }
     }
-    cut_off as f64 / unreachable.max(1) as f64
+    cut_off as f64 / silent.max(1) as f64
 }
 
 /// Changes the primaries of `count` groups, each observed by one running router. The seed determines the new
--- a/crates/fleet/src/prove.rs
+++ b/crates/fleet/src/prove.rs
@@ -23,8 +23,8 @@
     LiveCounted,
     /// 9 s after a group's primary changed, 99% know the new one.
     PrimariesKnown,
-    /// 9 s after a partition into halves, 99% of the zones believed unreachable are reported as cut off, not
-    /// as lost.
+    /// 9 s after a partition into halves, 99% of the zones believed silent are reported as cut off, rather
+    /// than as lost or cut off.
     CutSaid,
     /// At most 2 KB per second and router.
     BytesBounded,
--- a/crates/fleet/src/router.rs
+++ b/crates/fleet/src/router.rs
@@ -17,7 +17,7 @@
     /// Its member number: its index in the roster.
     pub number: u16,
     /// Number of members in the roster.
-    pub roster: usize,
+    pub roster_size: usize,
     pub zone: u8,
     pub seed: u64,
 }
@@ -37,10 +37,9 @@
         clock_offset_ms: f64,
         limits: Limits,
     ) -> Result<Router, RosterError> {
-        let Identity { number, roster, zone, seed } = identity;
+        let Identity { number, roster_size, zone, seed } = identity;
         let started_at = (now + clock_offset_ms) as u64;
-        let identity =
-            magpiewell_tier::Identity { local: number, roster_size: roster, zone: Some(zone), started_at };
+        let identity = magpiewell_tier::Identity { local: number, roster_size, zone: Some(zone), started_at };
         let tier = Tier::new(identity, seed, Some(Key::new(SECRET)), limits)?;
         Ok(Router { tier, clock_offset_ms })
     }
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -55,7 +55,7 @@
     PrimariesKnown,
     /// Bytes sent per second and live router since the previous measurement, including IPv4 and UDP headers.
     BytesPerSecond,
-    /// Pairs of a live observer and a zone it believes unreachable in which the zone is reported as cut off,
+    /// Pairs of a live observer and a zone that it believes silent in which the zone is reported as cut off,
     /// rather than as lost or cut off.
     SaidCutOff,
     /// Pairs of an observer and a member whose zone the observer knows.
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -52,7 +52,7 @@
     health_penalty: u32,
     random: Random,
     /// Whether this router has left.
-    left: bool,
+    has_left: bool,
     /// Members whose state changed and has not been reported yet.
     changed: Vec<MemberId>,
 }
@@ -89,7 +89,7 @@
             last_tick_at: None,
             health_penalty: 0,
             random: Random::new(seed),
-            left: false,
+            has_left: false,
             changed: Vec::new(),
         };
         members.announce_self();
@@ -169,7 +169,7 @@
         let mut actions = Vec::new();
         let elapsed_ms = self.last_tick_at.map_or(0.0, |at| now - at);
         self.last_tick_at = Some(now);
-        if self.left {
+        if self.has_left {
             return actions;
         }
         if elapsed_ms > self.limits.pause_threshold_ms {
@@ -195,7 +195,7 @@
         updates: &[Update],
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        if from == self.local || usize::from(from) >= self.roster.len() || self.left {
+        if from == self.local || usize::from(from) >= self.roster.len() || self.has_left {
             return actions;
         }
         let has_not_refuted = self.record_sender(from, incarnation);
@@ -238,7 +238,7 @@
 
     /// Leaves the tier: announces this to at most `count` members. All later events are ignored.
     pub fn leave(&mut self, count: usize) -> Vec<Action> {
-        self.left = true;
+        self.has_left = true;
         self.announce_self();
         self.roster.change(self.local, |own| own.state = State::Left);
         let mut receivers = self.reachable();
--- a/crates/members/src/suspicion.rs
+++ b/crates/members/src/suspicion.rs
@@ -124,7 +124,7 @@
     /// it exists.
     fn refute(&mut self, update: Update) {
         let is_believed_not_alive =
-            update.state != State::Alive && update.incarnation >= self.incarnation && !self.left;
+            update.state != State::Alive && update.incarnation >= self.incarnation && !self.has_left;
         // An earlier process of this router may have started while its clock was ahead.
         let is_later_process = update.incarnation.started_at > self.incarnation.started_at;
         if !is_believed_not_alive && !is_later_process {
--- a/crates/members/src/tests.rs
+++ b/crates/members/src/tests.rs
@@ -110,13 +110,13 @@
     }
 
     /// The state of `target` as believed by each other member that is neither dead nor paused.
-    fn views(&self, target: usize) -> Vec<State> {
+    fn believed_states(&self, target: usize) -> Vec<State> {
         let observers = self.members.iter().enumerate().filter(|(id, _)| *id != target && !self.paused[*id]);
         observers.filter_map(|(_, m)| m.as_ref()).map(|m| m.state(target as u16)).collect()
     }
 
     fn all_alive(&self) -> bool {
-        (0..self.members.len()).all(|id| self.views(id).iter().all(|s| *s == State::Alive))
+        (0..self.members.len()).all(|id| self.believed_states(id).iter().all(|s| *s == State::Alive))
     }
 }
 
@@ -138,7 +138,7 @@
         let mut false_deaths = 0;
         for _ in 0..60 {
             tier.run(1_000.0);
-            let dead = |id: usize| tier.views(id).iter().filter(|s| **s == State::Dead).count();
+            let dead = |id: usize| tier.believed_states(id).iter().filter(|s| **s == State::Dead).count();
             false_deaths += (0..30).map(dead).sum::<usize>();
         }
         // Less than 1 % of 60 samples of 870 believed states each.
@@ -146,7 +146,7 @@
         (0..21).for_each(|id| tier.members[id] = None);
         tier.run(tier.members[25].as_ref().unwrap().detection_bound_ms());
         for dead in 0..21 {
-            assert!(tier.views(dead).iter().all(|s| *s == State::Dead), "{dead}");
+            assert!(tier.believed_states(dead).iter().all(|s| *s == State::Dead), "{dead}");
         }
     }
 }
@@ -170,7 +170,7 @@
     tier.run(5_000.0);
     tier.paused[2] = true;
     tier.run(20_000.0);
-    assert!(tier.views(2).iter().all(|s| *s == State::Dead));
+    assert!(tier.believed_states(2).iter().all(|s| *s == State::Dead));
     tier.paused[2] = false;
     tier.run(500.0);
     let resumed = tier.members[2].as_ref().unwrap();
@@ -188,7 +188,7 @@
     tier.perform(5, actions);
     tier.members[5] = None;
     tier.run(6_000.0);
-    assert!(tier.views(5).iter().all(|s| *s == State::Left));
+    assert!(tier.believed_states(5).iter().all(|s| *s == State::Left));
     // It restarts with a clock that is 1 ms behind, so with an earlier incarnation: it has to refute that it
     // has left.
     tier.members[5] = Some(Members::new(5, 8, 0, 77, Limits::default()).unwrap());
--- a/crates/peers/src/tier/tests.rs
+++ b/crates/peers/src/tier/tests.rs
@@ -5,6 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
+/// The receiver's time, in Unix ms.
 const NOW: f64 = 1_796_000_000_000.0;
 
 fn config() -> Config {
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -2,10 +2,11 @@
 //! bytes. Datagrams in, datagrams and events out; no I/O, no clock, no threads. Times are Unix ms.
 //!
 //! Updates and facts are piggybacked on the membership protocol's messages, which are sent at a steady rate.
-//! New facts are also sent immediately to a few members, which forward them immediately to a few others. A
-//! token bucket bounds these additional datagrams in all situations. A datagram that can't be decoded, comes
-//! from outside the roster or carries another member's number is dropped and counted. The rate limit on
-//! received datagrams applies to each sender separately, so that one sender can't use up another one's share.
+//! New facts and updates are also sent immediately to a few members, which forward them immediately to a few
+//! others. A token bucket bounds these additional datagrams in all situations. A datagram that can't be
+//! decoded, comes from outside the roster or carries another member's number is dropped and counted. The rate
+//! limit on received datagrams applies to each sender separately, so that one sender can't use up another
+//! one's share.
 
 mod counters;
 mod limits;
@@ -270,7 +271,8 @@
         let age_entries = if self.evidence.is_some() { ZONE_AGES_ENTRIES } else { 0 };
         let zone_chunks = self.take_requested_chunks(to);
         let room = MAX_ENTRIES - age_entries - zone_chunks.len();
-        let reserved_for_updates = self.members.pending_updates().min(self.limits.max_updates).min(room / 2);
+        let reserved_for_updates =
+            self.members.pending_updates().min(self.limits.max_reserved_for_updates).min(room / 2);
         let max_facts = room - reserved_for_updates;
         let facts = match self.take_pulled_facts(now, to, max_facts) {
             Some(missing) => missing,
@@ -315,7 +317,8 @@
         }
     }
 
-    /// At most `count` random members to gossip with, none of them in a zone that may be lost.
+    /// At most `count` random members to gossip with, none of them in a zone whose latest sign of life is
+    /// stale.
     fn gossip_targets(&mut self, now: f64, count: usize) -> Vec<u16> {
         let local = self.members.local();
         // Draws twice as many as needed: up to half of the fleet may be in such zones.
--- a/crates/tier/src/tests.rs
+++ b/crates/tier/src/tests.rs
@@ -7,18 +7,23 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 
+/// Virtual time at the start of a run, in Unix ms.
 const START: f64 = 1_796_000_000_000.0;
-const TICK: f64 = 100.0;
+const TICK_MS: f64 = 100.0;
 
 struct SimulatedNetwork {
     now: f64,
     tiers: Vec<Option<Tier>>,
+    /// Sender, receiver and bytes of the datagrams in flight, by delivery time in microseconds since the
+    /// start and sequence number.
     in_flight: BTreeMap<(u64, u64), (u16, u16, Vec<u8>)>,
     random: ChaCha8Rng,
     loss: f64,
+    /// Datagrams put in flight so far.
     datagrams: u64,
     /// When each router first received a fact about a primary.
     learned_at: Vec<Option<f64>>,
+    /// All events of each router.
     events: Vec<Vec<PeerFact>>,
 }
 
@@ -43,7 +48,7 @@
     }
 
     fn dispatch(&mut self, from: usize, output: Output) {
-        if output.events.iter().any(|t| matches!(t, PeerFact::Primary { .. })) {
+        if output.events.iter().any(|event| matches!(event, PeerFact::Primary { .. })) {
             self.learned_at[from] = self.learned_at[from].or(Some(self.now));
         }
         self.events[from].extend(output.events);
@@ -75,7 +80,7 @@
                 }
             }
             // Ticks of different routers fall at different times.
-            let phase = (self.now - START) % TICK;
+            let phase = (self.now - START) % TICK_MS;
             for member in 0..self.tiers.len() {
                 let now = self.now;
                 if (member % 5) as f64 * 20.0 == phase
@@ -89,8 +94,8 @@
     }
 
     /// Datagrams sent per second and router so far.
-    fn rate(&self) -> f64 {
-        let sent: u64 = self.tiers.iter().flatten().map(|t| t.sent().datagrams).sum();
+    fn datagrams_per_second(&self) -> f64 {
+        let sent: u64 = self.tiers.iter().flatten().map(|tier| tier.sent().datagrams).sum();
         sent as f64 / self.tiers.len() as f64 / ((self.now - START) / 1e3)
     }
 }
@@ -100,8 +105,12 @@
     for (size, seconds) in [(3, 30.0), (30, 30.0), (300, 12.0)] {
         let mut network = SimulatedNetwork::new(size, 1, 0.0);
         network.run(seconds * 1e3);
-        assert!((1.0..2.0).contains(&network.rate()), "{size}: {}", network.rate());
-        let last = network.events[0].iter().rev().find(|t| matches!(t, PeerFact::Members { .. }));
+        assert!(
+            (1.0..2.0).contains(&network.datagrams_per_second()),
+            "{size}: {}",
+            network.datagrams_per_second()
+        );
+        let last = network.events[0].iter().rev().find(|event| matches!(event, PeerFact::Members { .. }));
         let Some(PeerFact::Members { counted, zone_shares }) = last else { panic!("{last:?}") };
         assert!(
             *counted == size
@@ -113,7 +122,7 @@
 }
 
 #[test]
-fn facts_spread_quickly_despite_30_percent_loss() {
+fn facts_reach_most_routers_within_two_seconds_despite_30_percent_loss() {
     // 1,000 routers take minutes in a debug build; `magpiewell-fleet prove` measures larger fleets.
     for seed in [1, 2] {
         let mut network = SimulatedNetwork::new(300, seed, 0.3);
@@ -138,7 +147,7 @@
 fn token_bucket_bounds_traffic_when_all_routers_observe_the_same() {
     let mut network = SimulatedNetwork::new(60, 3, 0.0);
     network.run(3_000.0);
-    let before: u64 = network.tiers.iter().flatten().map(|t| t.sent().datagrams).sum();
+    let before: u64 = network.tiers.iter().flatten().map(|tier| tier.sent().datagrams).sum();
     for member in 0..60 {
         for host in 0..40 {
             let output = network.tiers[member]
@@ -149,15 +158,16 @@
         }
     }
     network.run(5_000.0);
-    let sent_per_router =
-        (network.tiers.iter().flatten().map(|t| t.sent().datagrams).sum::<u64>() - before) as f64 / 60.0;
+    let sent_per_router = (network.tiers.iter().flatten().map(|tier| tier.sent().datagrams).sum::<u64>()
+        - before) as f64
+        / 60.0;
     let limits = Limits::default();
     assert!(
         sent_per_router < limits.urgent_burst + 5.0 * (limits.urgent_per_second + 2.5),
         "{sent_per_router}"
     );
     let reported = |member: usize| {
-        network.events[member].iter().filter(|t| matches!(t, PeerFact::Unresponsive { .. })).count()
+        network.events[member].iter().filter(|event| matches!(event, PeerFact::Unresponsive { .. })).count()
     };
     assert!((0..60).all(|member| reported(member) > 0));
 }
@@ -202,7 +212,7 @@
     );
     // Repeated reports by one router don't reach the quorum; a report by a second router does.
     let events = |output: Output| {
-        output.events.into_iter().filter(|t| matches!(t, PeerFact::Unresponsive { .. })).count()
+        output.events.into_iter().filter(|event| matches!(event, PeerFact::Unresponsive { .. })).count()
     };
     assert_eq!(
         (0..9)
@@ -244,7 +254,8 @@
     network.run(5_000.0);
     for member in (0..12).filter(|member| *member != 4) {
         assert_eq!(network.tiers[member].as_ref().unwrap().members().state(4), State::Left);
-        let last = network.events[member].iter().rev().find(|t| matches!(t, PeerFact::Members { .. }));
+        let last =
+            network.events[member].iter().rev().find(|event| matches!(event, PeerFact::Members { .. }));
         assert!(matches!(last, Some(PeerFact::Members { counted: 11, .. })), "{last:?}");
     }
 }
@@ -273,7 +284,7 @@
         );
         let mut digests = 0;
         for step in 1..150 {
-            let now = START + f64::from(step) * TICK;
+            let now = START + f64::from(step) * TICK_MS;
             informed.tick(now);
             for request in asking.tick(now).datagrams {
                 digests += usize::from(decode(&request.bytes, None, now).unwrap().digest.is_some());
@@ -282,7 +293,7 @@
                 }
             }
         }
-        let now = START + 150.0 * TICK;
+        let now = START + 150.0 * TICK_MS;
         assert_eq!(known(&asking, now), if is_pulling { 40 } else { 1 }, "pulls: {is_pulling}");
         // One request per 625 ms until five seconds after the last primary was learned.
         assert!(if is_pulling { (3..=16).contains(&digests) } else { digests == 0 }, "{digests}");
@@ -297,7 +308,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn arbitrary_datagrams_from_any_sender_are_handled(
+    fn arbitrary_datagrams_cause_no_panic_and_at_most_eight_replies_each(
         datagrams in prop::collection::vec((0u16..6, prop::collection::vec(any::<u8>(), 0..300)), 0..60),
         zone_evidence in any::<bool>()
     ) {
--- a/crates/tier/src/zones.rs
+++ b/crates/tier/src/zones.rs
@@ -18,13 +18,13 @@
     limits: &Limits,
     zone: Option<u8>,
     local: u16,
-    roster: usize,
+    roster_size: usize,
     now: f64,
 ) -> Option<ZoneEvidence> {
     let limits = limits.zone_evidence.then(|| {
         ZoneLimits::for_probe_period(limits.members.probe_period_ms, limits.members.pause_threshold_ms)
     })?;
-    let mut map = ZoneMap::new(roster, usize::from(local));
+    let mut map = ZoneMap::new(roster_size, usize::from(local));
     if let Some(zone) = zone {
         map.learn_from_member(local, zone);
     }
