--- a/crates/facts/src/fact.rs
+++ b/crates/facts/src/fact.rs
@@ -12,8 +12,8 @@
 pub enum Observation {
     /// The host answered as the group's primary.
     Primary { group: GroupKey, host: HostKey },
-    /// The replica was this many ms behind its log.
-    ReplicaLag { host: HostKey, ms: u32 },
+    /// The replica was this many ms behind the primary's log.
+    ReplicaLag { host: HostKey, lag_ms: u32 },
     /// The host did not respond: a probe was not answered, or sends were overtaken by later ones.
     Unresponsive { host: HostKey },
     /// This many reads took this percentage of the host's usual op latency.
@@ -32,18 +32,18 @@
 
 impl Observation {
     /// How long the observation is valid, in ms.
-    fn lifetime(&self, limits: &Limits) -> f64 {
+    fn lifetime_ms(&self, limits: &Limits) -> f64 {
         match self {
-            Observation::Primary { .. } => limits.primary_lifetime,
-            Observation::ReplicaLag { .. } => limits.replica_lag_lifetime,
-            Observation::Unresponsive { .. } | Observation::Slow { .. } => limits.degradation_lifetime,
+            Observation::Primary { .. } => limits.primary_lifetime_ms,
+            Observation::ReplicaLag { .. } => limits.replica_lag_lifetime_ms,
+            Observation::Unresponsive { .. } | Observation::Slow { .. } => limits.degradation_lifetime_ms,
         }
     }
 }
 
 impl Fact {
     pub(crate) fn is_expired(&self, now: f64, limits: &Limits) -> bool {
-        now - self.observed_at > self.observation.lifetime(limits)
+        now - self.observed_at > self.observation.lifetime_ms(limits)
     }
 
     /// Whether a newer fact has the same subject, so that this one need not be sent any more.
--- a/crates/facts/src/latest.rs
+++ b/crates/facts/src/latest.rs
@@ -40,8 +40,8 @@
 }
 
 impl<T> LatestByOrigin<T> {
-    /// Stores a value unless it is no later than its origin's stored value, or older than those of
-    /// `max_origins` other origins. Returns whether it was stored.
+    /// Stores a value if it is later than its origin's stored value, and keeps only the values of the
+    /// `max_origins` origins with the latest ones. Returns whether the new value is kept.
     pub fn merge(&mut self, new: Stamped<T>, max_origins: usize) -> bool {
         let origin = new.stamp.origin;
         let entry = self.values.get(&origin);
@@ -63,13 +63,18 @@
         self.values.values()
     }
 
-    /// Values of origins other than `local` that were observed within `lifetime`.
-    pub fn recent_of_others(&self, now: f64, lifetime: f64, local: u16) -> impl Iterator<Item = &Stamped<T>> {
+    /// Values of origins other than `local` that were observed within `lifetime_ms`.
+    pub fn recent_of_others(
+        &self,
+        now: f64,
+        lifetime_ms: f64,
+        local: u16,
+    ) -> impl Iterator<Item = &Stamped<T>> {
         self.iter()
-            .filter(move |entry| entry.stamp.origin != local && now - entry.stamp.observed_at <= lifetime)
+            .filter(move |entry| entry.stamp.origin != local && now - entry.stamp.observed_at <= lifetime_ms)
     }
 
-    pub fn remove_older(&mut self, now: f64, lifetime: f64) {
-        self.values.retain(|_, entry| now - entry.stamp.observed_at <= lifetime);
+    pub fn remove_older(&mut self, now: f64, lifetime_ms: f64) {
+        self.values.retain(|_, entry| now - entry.stamp.observed_at <= lifetime_ms);
     }
 }
--- a/crates/facts/src/store.rs
+++ b/crates/facts/src/store.rs
@@ -16,8 +16,7 @@
 /// The lag of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaLag {
-    /// The lag in ms.
-    pub ms: f64,
+    pub lag_ms: f64,
     /// When it was observed, in Unix ms.
     pub observed_at: f64,
 }
@@ -25,7 +24,7 @@
 /// How slow a host's reads were, over all routers that reported slow reads.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencyRatio {
-    /// The number of slow reads.
+    /// The number of slow reads that were reported.
     pub reads: f64,
     /// The mean latency of these reads as a multiple of the usual latency.
     pub ratio: f64,
@@ -67,10 +66,10 @@
         replica_lag.chain(unresponsive_reports).chain(slow_reads).fold(f64::NEG_INFINITY, f64::max)
     }
 
-    fn merge_replica_lag(&mut self, stamp: Stamp, ms: u32) -> bool {
+    fn merge_replica_lag(&mut self, stamp: Stamp, lag_ms: u32) -> bool {
         let is_new = self.replica_lag.is_none_or(|entry| stamp.is_later_than(&entry.stamp));
         if is_new {
-            self.replica_lag = Some(Stamped { stamp, value: ms });
+            self.replica_lag = Some(Stamped { stamp, value: lag_ms });
         }
         is_new
     }
@@ -90,8 +89,8 @@
         let stamp = Stamp { observed_at: fact.observed_at, origin: fact.origin };
         match fact.observation {
             Observation::Primary { group, host } => self.merge_primary(stamp, group, host, limits),
-            Observation::ReplicaLag { host, ms } => {
-                self.merge_host(host, limits, |entry| entry.merge_replica_lag(stamp, ms))
+            Observation::ReplicaLag { host, lag_ms } => {
+                self.merge_host(host, limits, |entry| entry.merge_replica_lag(stamp, lag_ms))
             }
             Observation::Unresponsive { host } => self.merge_host(host, limits, |entry| {
                 entry.unresponsive_reports.merge(Stamped { stamp, value: () }, limits.max_origins)
@@ -142,19 +141,20 @@
     }
 
     /// Whether this host is stored as the group's primary, however old the observation is.
-    pub fn holds_primary(&self, group: GroupKey, host: HostKey) -> bool {
+    pub fn has_primary(&self, group: GroupKey, host: HostKey) -> bool {
         self.primaries.get(&group).is_some_and(|entry| entry.value == host)
     }
 
     pub fn primary(&self, now: f64, group: GroupKey, limits: &Limits) -> Option<Primary> {
         let entry = self.primaries.get(&group)?;
         let observed_at = entry.stamp.observed_at;
-        (now - observed_at <= limits.primary_lifetime).then_some(Primary { host: entry.value, observed_at })
+        (now - observed_at <= limits.primary_lifetime_ms)
+            .then_some(Primary { host: entry.value, observed_at })
     }
 
     /// The primaries observed within the digest window, in ascending order of their groups.
     pub fn recent_primaries(&self, now: f64, limits: &Limits) -> Vec<Fact> {
-        let is_recent = |entry: &Stamped<HostKey>| now - entry.stamp.observed_at <= limits.digest_window;
+        let is_recent = |entry: &Stamped<HostKey>| now - entry.stamp.observed_at <= limits.digest_window_ms;
         let recent = self.primaries.iter().filter(|(_, entry)| is_recent(entry));
         recent
             .map(|(group, entry)| Fact {
@@ -167,14 +167,14 @@
 
     pub fn replica_lag(&self, now: f64, host: HostKey, limits: &Limits) -> Option<ReplicaLag> {
         let entry = self.hosts.get(&host)?.replica_lag?;
-        let (ms, observed_at) = (f64::from(entry.value), entry.stamp.observed_at);
-        (now - observed_at <= limits.replica_lag_lifetime).then_some(ReplicaLag { ms, observed_at })
+        let (lag_ms, observed_at) = (f64::from(entry.value), entry.stamp.observed_at);
+        (now - observed_at <= limits.replica_lag_lifetime_ms).then_some(ReplicaLag { lag_ms, observed_at })
     }
 
     /// How many routers other than `local` recently reported the host as unresponsive.
     pub fn unresponsive_reports(&self, now: f64, host: HostKey, local: u16, limits: &Limits) -> usize {
         let Some(entry) = self.hosts.get(&host) else { return 0 };
-        entry.unresponsive_reports.recent_of_others(now, limits.degradation_lifetime, local).count()
+        entry.unresponsive_reports.recent_of_others(now, limits.degradation_lifetime_ms, local).count()
     }
 
     /// How slow the reads of routers other than `local` were.
@@ -187,7 +187,7 @@
     ) -> Option<LatencyRatio> {
         let entry = self.hosts.get(&host)?;
         let (mut reads, mut sum) = (0.0, 0.0);
-        for slow in entry.slow_reads.recent_of_others(now, limits.degradation_lifetime, local) {
+        for slow in entry.slow_reads.recent_of_others(now, limits.degradation_lifetime_ms, local) {
             let count = f64::from(slow.value.reads);
             reads += count;
             sum += count * f64::from(slow.value.latency_percent) / 100.0;
@@ -197,12 +197,12 @@
 
     pub fn remove_expired(&mut self, now: f64, limits: &Limits) {
         let age = |stamp: Stamp| now - stamp.observed_at;
-        self.primaries.retain(|_, entry| age(entry.stamp) <= limits.primary_lifetime);
+        self.primaries.retain(|_, entry| age(entry.stamp) <= limits.primary_lifetime_ms);
         for host in self.hosts.values_mut() {
             host.replica_lag =
-                host.replica_lag.filter(|entry| age(entry.stamp) <= limits.replica_lag_lifetime);
-            host.unresponsive_reports.remove_older(now, limits.degradation_lifetime);
-            host.slow_reads.remove_older(now, limits.degradation_lifetime);
+                host.replica_lag.filter(|entry| age(entry.stamp) <= limits.replica_lag_lifetime_ms);
+            host.unresponsive_reports.remove_older(now, limits.degradation_lifetime_ms);
+            host.slow_reads.remove_older(now, limits.degradation_lifetime_ms);
         }
         self.hosts.retain(|_, host| *host != Host::default());
     }
--- a/crates/facts/src/tests.rs
+++ b/crates/facts/src/tests.rs
@@ -4,6 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
+/// The time at which facts are received, in Unix ms.
 const NOW: f64 = 1_000_000.0;
 
 fn config() -> Config {
@@ -13,7 +14,7 @@
 fn fact() -> impl Strategy<Value = Fact> {
     let observation = prop_oneof![
         (0u32..3, 0u32..4).prop_map(|(group, host)| Observation::Primary { group, host }),
-        (0u32..4, 0u32..5_000).prop_map(|(host, ms)| Observation::ReplicaLag { host, ms }),
+        (0u32..4, 0u32..5_000).prop_map(|(host, lag_ms)| Observation::ReplicaLag { host, lag_ms }),
         (0u32..4).prop_map(|host| Observation::Unresponsive { host }),
         (0u32..4, 0u16..900, 1u16..9).prop_map(|(host, latency_percent, reads)| Observation::Slow {
             host,
@@ -21,12 +22,12 @@
             reads
         }),
     ];
-    // Generated facts may share subject, origin and timestamp. A router makes one observation at a time, so
-    // that its facts don't: tests for which this matters filter them.
-    (observation, 1u16..7, 0u32..5).prop_map(|(observation, origin, ago)| Fact {
+    // Generated facts may share subject, origin and timestamp, which a router's own observations never do:
+    // tests for which this matters remove such duplicates.
+    (observation, 1u16..7, 0u32..5).prop_map(|(observation, origin, age)| Fact {
         observation,
         origin,
-        observed_at: NOW - f64::from(ago) * 900.0,
+        observed_at: NOW - f64::from(age) * 900.0,
     })
 }
 
@@ -55,7 +56,7 @@
     for number in 0..5u32 {
         let now = f64::from(number);
         facts.observe(now, Observation::Primary { group: number, host: number });
-        facts.observe(now, Observation::ReplicaLag { host: number, ms: 1 });
+        facts.observe(now, Observation::ReplicaLag { host: number, lag_ms: 1 });
     }
     let Sizes { groups, hosts, evicted, .. } = facts.sizes();
     assert_eq!((groups, hosts, evicted), (3, 2, 5));
@@ -157,12 +158,12 @@
         for (key, origin, offset, kind) in all {
             let observation = match kind {
                 0 => Observation::Primary { group: key, host: key },
-                1 => Observation::ReplicaLag { host: key, ms: key },
+                1 => Observation::ReplicaLag { host: key, lag_ms: key },
                 2 => Observation::Unresponsive { host: key % 11 },
                 _ => Observation::Slow { host: key % 11, latency_percent: origin, reads: origin },
             };
             let received = facts.receive(NOW, Fact { observation, origin, observed_at: NOW + offset });
-            prop_assert!(offset <= limits.max_clock_skew || received == Received::Rejected);
+            prop_assert!(offset <= limits.max_clock_skew_ms || received == Received::Rejected);
             let Sizes { groups, hosts, queued, .. } = facts.sizes();
             prop_assert!(groups <= 5 && hosts <= 7 && queued <= 9);
             prop_assert!(facts.unresponsive_reports(NOW, key % 11) <= 2);
--- a/crates/members/src/tests.rs
+++ b/crates/members/src/tests.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 const TICK_MS: f64 = 50.0;
-const MAX_UPDATES: usize = 12;
+const MAX_UPDATES_PER_DATAGRAM: usize = 12;
 
 /// Sender, receiver, the sender's incarnation, message and piggybacked updates.
 type Datagram = (u16, u16, Incarnation, Message, Vec<Update>);
@@ -25,7 +25,9 @@
     loss: f64,
     /// The side of the partition that each member is on.
     side: Vec<u8>,
-    sent: usize,
+    /// Messages sent so far, including lost ones.
+    sent_messages: usize,
+    /// Datagrams put in flight so far.
     datagrams: u64,
 }
 
@@ -41,7 +43,7 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             loss,
             side: vec![0; size],
-            sent: 0,
+            sent_messages: 0,
             datagrams: 0,
         }
     }
@@ -57,8 +59,9 @@
                 continue;
             };
             let Some(member) = &mut self.members[from] else { return };
-            let (incarnation, updates) = (member.incarnation(), member.updates_for(to, MAX_UPDATES));
-            self.sent += 1;
+            let (incarnation, updates) =
+                (member.incarnation(), member.updates_for(to, MAX_UPDATES_PER_DATAGRAM));
+            self.sent_messages += 1;
             if self.random_fraction() < self.loss || self.side[from] != self.side[to as usize] {
                 continue;
             }
@@ -71,6 +74,7 @@
         }
     }
 
+    /// Advances the time by `ms`.
     fn run(&mut self, ms: f64) {
         let until = self.now + ms;
         while self.now < until {
@@ -106,13 +110,13 @@
     }
 
     /// The state of `target` as believed by each other member that is neither dead nor paused.
-    fn views(&self, target: usize) -> Vec<State> {
+    fn believed_states(&self, target: usize) -> Vec<State> {
         let observers = self.members.iter().enumerate().filter(|(id, _)| *id != target && !self.paused[*id]);
         observers.filter_map(|(_, m)| m.as_ref()).map(|m| m.state(target as u16)).collect()
     }
 
     fn all_alive(&self) -> bool {
-        (0..self.members.len()).all(|id| self.views(id).iter().all(|s| *s == State::Alive))
+        (0..self.members.len()).all(|id| self.believed_states(id).iter().all(|s| *s == State::Alive))
     }
 }
 
@@ -122,7 +126,7 @@
         let mut tier = Tier::new(size, 5, 0.0);
         tier.run(seconds * 1_000.0);
         assert!(tier.all_alive());
-        let sent_per_second = tier.sent as f64 / size as f64 / seconds;
+        let sent_per_second = tier.sent_messages as f64 / size as f64 / seconds;
         assert!((1.0..2.0).contains(&sent_per_second), "{size}: {sent_per_second}");
     }
 }
@@ -134,15 +138,15 @@
         let mut false_deaths = 0;
         for _ in 0..60 {
             tier.run(1_000.0);
-            let dead = |id: usize| tier.views(id).iter().filter(|s| **s == State::Dead).count();
+            let dead = |id: usize| tier.believed_states(id).iter().filter(|s| **s == State::Dead).count();
             false_deaths += (0..30).map(dead).sum::<usize>();
         }
         // Less than 1 % of 60 samples of 870 believed states each.
         assert!(false_deaths < 522, "{false_deaths}");
         (0..21).for_each(|id| tier.members[id] = None);
-        tier.run(tier.members[25].as_ref().unwrap().detection_bound());
+        tier.run(tier.members[25].as_ref().unwrap().detection_bound_ms());
         for dead in 0..21 {
-            assert!(tier.views(dead).iter().all(|s| *s == State::Dead), "{dead}");
+            assert!(tier.believed_states(dead).iter().all(|s| *s == State::Dead), "{dead}");
         }
     }
 }
@@ -166,7 +170,7 @@
     tier.run(5_000.0);
     tier.paused[2] = true;
     tier.run(20_000.0);
-    assert!(tier.views(2).iter().all(|s| *s == State::Dead));
+    assert!(tier.believed_states(2).iter().all(|s| *s == State::Dead));
     tier.paused[2] = false;
     tier.run(500.0);
     let resumed = tier.members[2].as_ref().unwrap();
@@ -184,9 +188,9 @@
     tier.perform(5, actions);
     tier.members[5] = None;
     tier.run(6_000.0);
-    assert!(tier.views(5).iter().all(|s| *s == State::Left));
-    // It restarts with a clock that is 1 ms behind: the state of its earlier incarnation does not keep it
-    // out.
+    assert!(tier.believed_states(5).iter().all(|s| *s == State::Left));
+    // It restarts with a clock that is 1 ms behind, so with an earlier incarnation: it has to refute that it
+    // has left.
     tier.members[5] = Some(Members::new(5, 8, 0, 77, Limits::default()).unwrap());
     tier.run(20_000.0);
     assert!(tier.all_alive());
@@ -243,7 +247,7 @@
         let to_suspects = |action: &Action| matches!(action, Action::SendToSuspect { .. });
         pings += members.tick(now).iter().filter(|action| to_suspects(action)).count();
     }
-    let max_pings = end / limits.ack_timeout;
+    let max_pings = end / limits.ack_timeout_ms;
     assert!(
         members.suspicions.len() > 2 && pings > 50 && pings as f64 <= max_pings,
         "{pings} of {max_pings}"
@@ -327,7 +331,7 @@
         prop_assert_eq!(first, beliefs_after(&all));
     }
 
-    /// Arbitrary events at arbitrary times cause no panic, and nothing grows beyond its bound.
+    /// Arbitrary events at arbitrary times cause no panic, and no collection grows beyond its bound.
     #[test]
     fn arbitrary_events_respect_all_bounds(
         events in prop::collection::vec(
--- a/crates/terms/src/tier.rs
+++ b/crates/terms/src/tier.rs
@@ -104,7 +104,7 @@
         pull_facts: optional(root, "pull_facts", Value::as_bool, false)?,
     };
     let silence_ms =
-        magpiewell_zones::Limits::for_probe_period(options.probe_period_ms, f64::INFINITY).silence;
+        magpiewell_zones::Limits::for_probe_period(options.probe_period_ms, f64::INFINITY).silent_after_ms;
     if options.zone_evidence && silence_ms > magpiewell_zones::Age::MAX_SILENCE_MS {
         return Err(format!(
             "settings key 'period_ms' is too long for 'zone_evidence': {} means {silence_ms} ms of silence, \
