--- a/crates/lab/src/capacity/clients.rs
+++ b/crates/lab/src/capacity/clients.rs
@@ -3,7 +3,7 @@
 use super::databases::Databases;
 use super::measure::{self, SamplingWindows, Summary};
 use super::ready;
-use super::setup::{self, AMPLE_GRANT};
+use super::setup::{self, AMPLE_LIMITS};
 use super::table::Row;
 use crate::client::Client;
 use crate::process::Process;
@@ -57,7 +57,7 @@
     let no_list_service = "127.0.0.1:1".parse().map_err(|_| "invalid address")?;
     let process = Process::start_with_configuration(
         router,
-        &setup::configuration(&AMPLE_GRANT, no_list_service, Some(&known_list)),
+        &setup::configuration(&AMPLE_LIMITS, no_list_service, Some(&known_list)),
     )?;
     let used_before_ms = process.processor_time_ms();
     let connect = |number| {
--- a/crates/lab/src/capacity/configuration.rs
+++ b/crates/lab/src/capacity/configuration.rs
@@ -4,7 +4,7 @@
 use super::databases::Databases;
 use super::list_service::ListService;
 use super::measure::Summary;
-use super::setup::{self, AMPLE_GRANT};
+use super::setup::{self, AMPLE_LIMITS};
 use super::table::Row;
 use crate::process::{self, Process};
 use std::path::Path;
@@ -51,7 +51,7 @@
     let databases = Databases::start()?;
     let list_service = ListService::start(hosts, databases.port)?;
     let known_list = setup::full_list(1, hosts, databases.port);
-    let configuration = setup::configuration(&AMPLE_GRANT, list_service.address, Some(&known_list));
+    let configuration = setup::configuration(&AMPLE_LIMITS, list_service.address, Some(&known_list));
     let process = Process::start_with_configuration(router, &configuration)?;
     process
         .log()
--- a/crates/lab/src/capacity/databases.rs
+++ b/crates/lab/src/capacity/databases.rs
@@ -205,7 +205,9 @@
     fn accept(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
             let mut socket = BufferedStream::new(stream);
-            let Some(host) = socket.local_addr().and_then(|at| setup::host_of(*at.ip())) else { continue };
+            let Some(host) = socket.local_addr().and_then(|addr| setup::host_of(*addr.ip())) else {
+                continue;
+            };
             let zone = setup::zone_of(host);
             if self.outages[zone] == Some(Outage::Lost) {
                 socket.reset();
--- a/crates/lab/src/capacity/hosts.rs
+++ b/crates/lab/src/capacity/hosts.rs
@@ -5,7 +5,7 @@
 use super::list_service::ListService;
 use super::load::{self, Load, LoadParameters, OutcomeCounts};
 use super::measure::{self, Sample, SamplingWindows};
-use super::setup::{self, AMPLE_GRANT};
+use super::setup::{self, AMPLE_LIMITS};
 use super::table::Row;
 use crate::process::{Process, ResourceLimits};
 use std::path::Path;
@@ -23,7 +23,7 @@
     Rest,
 }
 
-/// Parameters of one measurement: the number of hosts, the router's grant and the load.
+/// Parameters of one measurement: the number of hosts, the router's resource limits and the load.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub hosts: usize,
@@ -33,9 +33,9 @@
 }
 
 impl Case {
-    /// With a grant so large that no limit takes effect.
-    pub fn with_ample_grant(hosts: usize, reads_per_second: f64) -> Case {
-        Case { hosts, memory_mb: AMPLE_GRANT.memory_mb, sockets: AMPLE_GRANT.sockets, reads_per_second }
+    /// With resource limits so high that none takes effect.
+    pub fn with_ample_limits(hosts: usize, reads_per_second: f64) -> Case {
+        Case { hosts, memory_mb: AMPLE_LIMITS.memory_mb, sockets: AMPLE_LIMITS.sockets, reads_per_second }
     }
 }
 
@@ -103,10 +103,11 @@
     let databases = Databases::start()?;
     let list_service = ListService::start(case.hosts, databases.port)?;
     let known_list = setup::full_list(1, case.hosts, databases.port);
-    let grant = ResourceLimits { cores: AMPLE_GRANT.cores, memory_mb: case.memory_mb, sockets: case.sockets };
+    let limits =
+        ResourceLimits { cores: AMPLE_LIMITS.cores, memory_mb: case.memory_mb, sockets: case.sockets };
     let process = Process::start_with_configuration(
         router,
-        &setup::configuration(&grant, list_service.address, Some(&known_list)),
+        &setup::configuration(&limits, list_service.address, Some(&known_list)),
     )?;
     let ready = process.log().wait_for_line("ready with the list", 0, READY_TIMEOUT);
     ready.ok_or_else(|| format!("{} hosts: the router did not become ready", case.hosts))?;
--- a/crates/lab/src/capacity/list.rs
+++ b/crates/lab/src/capacity/list.rs
@@ -5,7 +5,7 @@
 use super::list_service::ListService;
 use super::measure::{self, SamplingWindows, Summary};
 use super::ready;
-use super::setup::{self, AMPLE_GRANT};
+use super::setup::{self, AMPLE_LIMITS};
 use super::table::Row;
 use crate::process::{Process, ResourceLimits};
 use std::path::Path;
@@ -18,7 +18,7 @@
 /// One row: the cost of a list of a number of hosts.
 pub struct ListRow {
     pub hosts: usize,
-    pub memory_granted_mb: usize,
+    pub memory_limit_mb: usize,
     pub list_bytes: usize,
     /// Time from the start of the process until it reports ready, and the processor time used by then.
     pub ready_ms: f64,
@@ -53,7 +53,7 @@
     fn cells(&self) -> Vec<String> {
         vec![
             self.hosts.to_string(),
-            self.memory_granted_mb.to_string(),
+            self.memory_limit_mb.to_string(),
             self.list_bytes.to_string(),
             format!("{:.0}", self.ready_ms),
             format!("{:.1}", self.ready_processor_ms),
@@ -79,9 +79,11 @@
 ) -> Result<ListRow, String> {
     let databases = Databases::start()?;
     let list_service = ListService::start(hosts, databases.port)?;
-    let grant = ResourceLimits { cores: AMPLE_GRANT.cores, memory_mb, sockets: AMPLE_GRANT.sockets };
-    let process =
-        Process::start_with_configuration(router, &setup::configuration(&grant, list_service.address, None))?;
+    let limits = ResourceLimits { cores: AMPLE_LIMITS.cores, memory_mb, sockets: AMPLE_LIMITS.sockets };
+    let process = Process::start_with_configuration(
+        router,
+        &setup::configuration(&limits, list_service.address, None),
+    )?;
     let ready_at =
         ready::wait_until_ready(&process, TIMEOUT).map_err(|why| format!("{hosts} hosts: {why}"))?;
     let ready_processor_ms = process.processor_time_ms();
@@ -108,7 +110,7 @@
     let bytes = traffic.bytes_in + traffic.bytes_out - traffic_before.bytes_in - traffic_before.bytes_out;
     Ok(ListRow {
         hosts,
-        memory_granted_mb: memory_mb,
+        memory_limit_mb: memory_mb,
         list_bytes: list_service.list_bytes(),
         ready_ms: ready_at.duration_since(process.started_at()).as_secs_f64() * 1e3,
         ready_processor_ms,
@@ -122,10 +124,10 @@
     })
 }
 
-/// Returns the reason that a router logs for rejecting a list longer than its grant allows; an error if it
-/// accepts the list. When the machine stalls, the router may report the list service as silent instead, and
+/// Returns the reason that a router logs for rejecting a list longer than its memory limit allows; an error
+/// if it accepts the list. When the machine stalls, the router may report the list service as silent instead, and
 /// the attempt is repeated with a new router.
-pub fn refusal(router: &Path, hosts: usize, memory_mb: usize) -> Result<String, String> {
+pub fn rejection_reason(router: &Path, hosts: usize, memory_mb: usize) -> Result<String, String> {
     let mut reason = first_failure(router, hosts, memory_mb)?;
     for _ in 1..MAX_ATTEMPTS {
         if !reason.contains("silent") {
@@ -140,9 +142,11 @@
 fn first_failure(router: &Path, hosts: usize, memory_mb: usize) -> Result<String, String> {
     let databases = Databases::start()?;
     let list_service = ListService::start(hosts, databases.port)?;
-    let grant = ResourceLimits { cores: AMPLE_GRANT.cores, memory_mb, sockets: AMPLE_GRANT.sockets };
-    let process =
-        Process::start_with_configuration(router, &setup::configuration(&grant, list_service.address, None))?;
+    let limits = ResourceLimits { cores: AMPLE_LIMITS.cores, memory_mb, sockets: AMPLE_LIMITS.sockets };
+    let process = Process::start_with_configuration(
+        router,
+        &setup::configuration(&limits, list_service.address, None),
+    )?;
     let line = process.log().wait_for_line("list failed", 0, TIMEOUT);
     let line =
         line.ok_or_else(|| format!("{hosts} hosts at {memory_mb} MB: the router did not reject the list"))?;
--- a/crates/lab/src/capacity/load.rs
+++ b/crates/lab/src/capacity/load.rs
@@ -89,17 +89,17 @@
 }
 
 impl Load {
-    /// Connects all clients to the router at `at` and starts reading.
-    pub fn start(at: SocketAddr, parameters: LoadParameters) -> Result<Load, String> {
+    /// Connects all clients to the router at `addr` and starts reading.
+    pub fn start(addr: SocketAddr, parameters: LoadParameters) -> Result<Load, String> {
         let clients = parameters.clients.max(1);
         let counters = Arc::new(OutcomeCounters::default());
         let stop_requested = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
         for number in 0..clients {
-            let client = ready::connect(at, CONNECT_TIMEOUT)
+            let client = ready::connect(addr, CONNECT_TIMEOUT)
                 .map_err(|e| format!("a load client could not connect: {e}"))?;
             let load_client = LoadClient {
-                at,
+                addr,
                 client,
                 interval: Duration::from_secs_f64(clients as f64 / parameters.reads_per_second),
                 groups: parameters.groups as u32,
@@ -130,7 +130,7 @@
 }
 
 struct LoadClient {
-    at: SocketAddr,
+    addr: SocketAddr,
     client: Client,
     interval: Duration,
     groups: u32,
@@ -166,7 +166,7 @@
     /// read.
     fn reconnect(&mut self) {
         while !self.stop_requested.load(Relaxed) {
-            if let Ok(client) = Client::open(self.at) {
+            if let Ok(client) = Client::open(self.addr) {
                 self.client = client;
                 return;
             }
--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -44,7 +44,7 @@
     pub core_percent: Summary,
     /// Connections that hosts accepted.
     pub opened_per_second: f64,
-    /// Connections that hosts reset because of an outage.
+    /// New connections that hosts reset because of an outage.
     pub reset_per_second: f64,
     pub probes_per_second: f64,
     pub reads_per_second: f64,
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -21,7 +21,7 @@
 use databases::Outage;
 use hosts::{Case, HostsRow, Phase};
 use measure::SamplingWindows;
-use setup::{AMPLE_GRANT, TARGET_CLIENTS_PER_ROUTER, TARGET_HOSTS, TARGET_STATEMENTS_PER_ROUTER};
+use setup::{AMPLE_LIMITS, TARGET_CLIENTS_PER_ROUTER, TARGET_HOSTS, TARGET_STATEMENTS_PER_ROUTER};
 use std::path::Path;
 use std::time::Duration;
 use table::{growth, markdown_table};
@@ -31,7 +31,7 @@
 pub enum Part {
     /// Database hosts in the list
     Hosts,
-    /// The target number of database hosts, with an ample and a usual grant
+    /// The target number of database hosts, with ample and with usual resource limits
     Granted,
     /// Zones whose hosts are lost or silent, and their return
     Outage,
@@ -70,11 +70,11 @@
 const LIST_SIZES: [usize; 4] = [100, 1_000, 3_000, 7_000];
 const LIST_CHANGES: usize = 40;
 const STARTS_PER_SIZE: usize = 5;
-/// A router's usual grant.
-const USUAL_GRANT_MB: usize = 192;
-const USUAL_GRANT_SOCKETS: usize = 4_096;
-/// A grant so small that a list of `OVERSIZED_LIST_HOSTS` hosts is too long for it.
-const SMALL_GRANT_MB: usize = 32;
+/// The usual resource limits of a router.
+const USUAL_MEMORY_MB: usize = 192;
+const USUAL_SOCKETS: usize = 4_096;
+/// A memory limit so small that a list of `OVERSIZED_LIST_HOSTS` hosts is too long for it.
+const SMALL_MEMORY_MB: usize = 32;
 const OVERSIZED_LIST_HOSTS: usize = 20_000;
 
 const SCHEDULE: hosts::Schedule = hosts::Schedule {
@@ -89,7 +89,7 @@
     for part in ALL_PARTS.into_iter().filter(|candidate| part.is_none_or(|part| part == *candidate)) {
         match part {
             Part::Hosts => measure_hosts(router, seed),
-            Part::Granted => measure_grants(router, seed),
+            Part::Granted => measure_with_limits(router, seed),
             Part::Outage => measure_outages(router, seed),
             Part::Clients => measure_clients(router),
             Part::Statements => measure_statements(router, seed),
@@ -104,7 +104,12 @@
 fn measure_hosts(router: &Path, seed: u64) -> Result<(), String> {
     let mut rows = Vec::new();
     for hosts in HOST_COUNTS {
-        rows.extend(hosts::measure(router, Case::with_ample_grant(hosts, READS_PER_SECOND), SCHEDULE, seed)?);
+        rows.extend(hosts::measure(
+            router,
+            Case::with_ample_limits(hosts, READS_PER_SECOND),
+            SCHEDULE,
+            seed,
+        )?);
     }
     println!("## Hosts\n\n{}", markdown_table(&rows));
     for phase in [Phase::Quiet, Phase::Reads, Phase::Rest] {
@@ -124,15 +129,15 @@
     Ok(())
 }
 
-/// The target number of hosts: at the target's rate with an ample grant, and at a low and the target's rate
-/// with a usual grant.
-fn measure_grants(router: &Path, seed: u64) -> Result<(), String> {
+/// The target number of hosts: at the target's rate with ample resource limits, and at a low and the
+/// target's rate with the usual ones.
+fn measure_with_limits(router: &Path, seed: u64) -> Result<(), String> {
     let hosts = TARGET_HOSTS as usize;
-    let ample = Case::with_ample_grant(hosts, TARGET_STATEMENTS_PER_ROUTER);
+    let ample = Case::with_ample_limits(hosts, TARGET_STATEMENTS_PER_ROUTER);
     let usual = Case {
-        memory_mb: USUAL_GRANT_MB,
-        sockets: USUAL_GRANT_SOCKETS,
-        ..Case::with_ample_grant(hosts, READS_PER_SECOND)
+        memory_mb: USUAL_MEMORY_MB,
+        sockets: USUAL_SOCKETS,
+        ..Case::with_ample_limits(hosts, READS_PER_SECOND)
     };
     let mut rows = Vec::new();
     for case in [ample, usual, Case { reads_per_second: TARGET_STATEMENTS_PER_ROUTER, ..usual }] {
@@ -184,7 +189,7 @@
 
 fn measure_lists(router: &Path) -> Result<(), String> {
     let windows = SamplingWindows { count: 3, seconds: 4.0 };
-    let measure = |hosts| list::measure(router, hosts, AMPLE_GRANT.memory_mb, LIST_CHANGES, windows);
+    let measure = |hosts| list::measure(router, hosts, AMPLE_LIMITS.memory_mb, LIST_CHANGES, windows);
     let mut rows: Vec<list::ListRow> = LIST_SIZES.into_iter().map(measure).collect::<Result<_, _>>()?;
     let hosts = |row: &list::ListRow| row.hosts as f64;
     let growth_lines = [
@@ -195,11 +200,11 @@
         growth("processor time of a change", "ms", &rows, TARGET_HOSTS, hosts, |r| r.change_processor_ms),
         growth("a core, quiet", "%", &rows, TARGET_HOSTS, hosts, |r| r.core_percent.mean),
     ];
-    rows.push(list::measure(router, TARGET_HOSTS as usize, USUAL_GRANT_MB, LIST_CHANGES, windows)?);
+    rows.push(list::measure(router, TARGET_HOSTS as usize, USUAL_MEMORY_MB, LIST_CHANGES, windows)?);
     println!("## The list of hosts\n\n{}", markdown_table(&rows));
     growth_lines.iter().for_each(|line| println!("{line}"));
-    let refusal = list::refusal(router, OVERSIZED_LIST_HOSTS, SMALL_GRANT_MB)?;
-    println!("a list of {OVERSIZED_LIST_HOSTS} hosts at {SMALL_GRANT_MB} MB is refused: {refusal}");
+    let rejection_reason = list::rejection_reason(router, OVERSIZED_LIST_HOSTS, SMALL_MEMORY_MB)?;
+    println!("a list of {OVERSIZED_LIST_HOSTS} hosts at {SMALL_MEMORY_MB} MB is refused: {rejection_reason}");
     Ok(())
 }
 
--- a/crates/lab/src/capacity/outage.rs
+++ b/crates/lab/src/capacity/outage.rs
@@ -6,7 +6,7 @@
 use super::list_service::ListService;
 use super::load::{Load, LoadParameters, OutcomeCounts};
 use super::measure::{self, Sample, SamplingWindows};
-use super::setup::{self, AMPLE_GRANT};
+use super::setup::{self, AMPLE_LIMITS};
 use super::table::Row;
 use crate::process::Process;
 use std::path::Path;
@@ -92,7 +92,7 @@
     let known_list = setup::full_list(1, case.hosts, databases.port);
     let process = Process::start_with_configuration(
         router,
-        &setup::configuration(&AMPLE_GRANT, list_service.address, Some(&known_list)),
+        &setup::configuration(&AMPLE_LIMITS, list_service.address, Some(&known_list)),
     )?;
     let ready = process.log().wait_for_line("ready with the list", 0, READY_TIMEOUT);
     ready.ok_or_else(|| format!("{} hosts: the router did not become ready", case.hosts))?;
--- a/crates/lab/src/capacity/ready.rs
+++ b/crates/lab/src/capacity/ready.rs
@@ -10,10 +10,10 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Connects a client, with retries until `timeout` is over.
-pub fn connect(at: SocketAddr, timeout: Duration) -> Result<Client, String> {
+pub fn connect(addr: SocketAddr, timeout: Duration) -> Result<Client, String> {
     let deadline = Instant::now() + timeout;
     loop {
-        match Client::open(at) {
+        match Client::open(addr) {
             Err(why) if Instant::now() >= deadline => return Err(why.to_string()),
             Err(_) => std::thread::sleep(RETRY_INTERVAL),
             Ok(client) => return Ok(client),
@@ -21,7 +21,7 @@
     }
 }
 
-/// Waits until the router is ready and returns when that was.
+/// Waits until the router is ready and returns the time at which it was.
 pub fn wait_until_ready(process: &Process, timeout: Duration) -> Result<Instant, String> {
     let deadline = Instant::now() + timeout;
     let mut client = connect(process.addr, timeout)?;
--- a/crates/lab/src/capacity/restart.rs
+++ b/crates/lab/src/capacity/restart.rs
@@ -4,7 +4,7 @@
 use super::list_service::ListService;
 use super::measure::Summary;
 use super::ready;
-use super::setup::{self, AMPLE_GRANT};
+use super::setup::{self, AMPLE_LIMITS};
 use super::table::Row;
 use crate::process::Process;
 use std::path::Path;
@@ -50,7 +50,7 @@
     let databases = Databases::start()?;
     let list_service = ListService::start(hosts, databases.port)?;
     let known_list = setup::full_list(1, hosts, databases.port);
-    let configuration = setup::configuration(&AMPLE_GRANT, list_service.address, Some(&known_list));
+    let configuration = setup::configuration(&AMPLE_LIMITS, list_service.address, Some(&known_list));
     let (mut ready_ms, mut processor_ms, mut memory_mb) = (Vec::new(), Vec::new(), 0.0);
     for _ in 0..starts {
         let process = Process::start_with_configuration(router, &configuration)?;
--- a/crates/lab/src/capacity/setup.rs
+++ b/crates/lab/src/capacity/setup.rs
@@ -92,8 +92,8 @@
 }
 
 /// A router's configuration with two op types: `look` reads at any staleness, `near` at a bounded one.
-pub fn configuration(grant: &ResourceLimits, list_address: SocketAddr, known_list: Option<&str>) -> String {
-    let ResourceLimits { cores, memory_mb, sockets } = grant;
+pub fn configuration(limits: &ResourceLimits, list_address: SocketAddr, known_list: Option<&str>) -> String {
+    let ResourceLimits { cores, memory_mb, sockets } = limits;
     let known_field = known_list.map(|list| format!("\"known\":{list},")).unwrap_or_default();
     format!(
         r#"{{"name":"lab","listen":"127.0.0.1:0","discovery":"{list_address}","seed":"1",
@@ -109,5 +109,5 @@
     )
 }
 
-/// A grant so large that no limit takes effect: measurements show the cost of the program, not its limits.
-pub const AMPLE_GRANT: ResourceLimits = ResourceLimits { cores: 8.0, memory_mb: 8_192, sockets: 200_000 };
+/// Resource limits so high that none takes effect: measurements show the cost of the program, not its limits.
+pub const AMPLE_LIMITS: ResourceLimits = ResourceLimits { cores: 8.0, memory_mb: 8_192, sockets: 200_000 };
--- a/crates/lab/src/capacity/statements.rs
+++ b/crates/lab/src/capacity/statements.rs
@@ -4,7 +4,7 @@
 use super::list_service::ListService;
 use super::load::{self, Load, LoadParameters, OutcomeCounts};
 use super::measure::{self, Sample, SamplingWindows};
-use super::setup::{self, AMPLE_GRANT};
+use super::setup::{self, AMPLE_LIMITS};
 use super::table::Row;
 use crate::process::Process;
 use std::path::Path;
@@ -65,7 +65,7 @@
     let known_list = setup::full_list(1, hosts, databases.port);
     let process = Process::start_with_configuration(
         router,
-        &setup::configuration(&AMPLE_GRANT, list_service.address, Some(&known_list)),
+        &setup::configuration(&AMPLE_LIMITS, list_service.address, Some(&known_list)),
     )?;
     let parameters =
         LoadParameters { reads_per_second, groups, clients: load::clients_for_rate(reads_per_second), seed };
--- a/crates/lab/src/tier/hosts.rs
+++ b/crates/lab/src/tier/hosts.rs
@@ -135,7 +135,9 @@
     fn accept(&mut self, listener: &mio::net::TcpListener) {
         while let Ok((accepted, _)) = listener.accept() {
             let mut stream = BufferedStream::new(accepted);
-            let Some((router, low)) = stream.local_addr().map(|at| decode_pair(at.ip())) else { continue };
+            let Some((router, low)) = stream.local_addr().map(|addr| decode_pair(addr.ip())) else {
+                continue;
+            };
             // The fourth byte of the address is the host's number modulo 256, unique within a process.
             let host = (self.first..self.first + self.models.len()).find(|h| h % 256 == low);
             let Some(host) = host.filter(|_| router < self.plan.script.routers) else { continue };
--- a/crates/lab/src/tier/list.rs
+++ b/crates/lab/src/tier/list.rs
@@ -88,7 +88,7 @@
         }
         while let Ok((accepted, _)) = listener.accept() {
             let mut stream = BufferedStream::new(accepted);
-            let Some((router, _)) = stream.local_addr().map(|at| decode_pair(at.ip())) else { continue };
+            let Some((router, _)) = stream.local_addr().map(|addr| decode_pair(addr.ip())) else { continue };
             if router < plan.script.routers && stream.register(poll.registry(), Token(next)).is_ok() {
                 watches.insert(next, Watch { stream, router, pending: None });
                 next += 1;
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -81,7 +81,7 @@
 fn hosts_table_is_complete_and_consistent() {
     let sizes = [10, 20, 40];
     let measured = sizes
-        .map(|size| hosts::measure(router(), Case::with_ample_grant(size, 200.0), SCHEDULE, SEED).unwrap());
+        .map(|size| hosts::measure(router(), Case::with_ample_limits(size, 200.0), SCHEDULE, SEED).unwrap());
     let rows: Vec<HostsRow> = measured.into_iter().flatten().collect();
     assert_complete(&rows);
     assert_eq!(rows.len(), 3 * sizes.len());
@@ -142,8 +142,8 @@
     }
     assert!(rows[1].list_bytes > 2 * rows[0].list_bytes);
     // The limit is a sixteenth of 32 MB, 2 MB; a list of 20,000 hosts is longer.
-    let refusal = list::refusal(router(), 20_000, 32).unwrap();
-    assert!(refusal.contains("longer than 2097152 bytes"), "{refusal}");
+    let rejection_reason = list::rejection_reason(router(), 20_000, 32).unwrap();
+    assert!(rejection_reason.contains("longer than 2097152 bytes"), "{rejection_reason}");
 }
 
 #[test]
