--- a/crates/lab/src/tier/clients.rs
+++ b/crates/lab/src/tier/clients.rs
@@ -28,7 +28,7 @@
     router: usize,
     opened: bool,
     op: Option<Op>,
-    /// The outcome of the op as far as its answer has arrived.
+    /// The outcome of the op according to the part of its answer that has arrived.
     how: Option<How>,
 }
 
@@ -109,22 +109,23 @@
             for event in &events {
                 self.on_ready(event.token().0);
             }
-            for no in std::mem::take(&mut self.stalled) {
-                self.on_ready(no);
+            for number in std::mem::take(&mut self.stalled) {
+                self.on_ready(number);
             }
             let now = self.epoch.now();
             while next_op_at <= now && next_op_at < s.lasts_ms && s.load.ops > 0.0 {
                 self.send_op(now, &weights, &mut rng);
                 next_op_at += -(1.0 - random_unit(&mut rng)).ln() * 1e3 / s.load.ops;
             }
-            while let Some((at, no)) = self.leave_at.first_key_value().map(|(at, no)| (*at, *no)) {
+            while let Some((at, number)) = self.leave_at.first_key_value().map(|(at, number)| (*at, *number))
+            {
                 if (at >> 20) as f64 > now {
                     break;
                 }
                 self.leave_at.remove(&at);
                 let id = at & 0xf_ffff;
-                if self.clients.get(&no).is_some_and(|c| c.op.is_some_and(|op| op.id & 0xf_ffff == id)) {
-                    self.disconnected(no);
+                if self.clients.get(&number).is_some_and(|c| c.op.is_some_and(|op| op.id & 0xf_ffff == id)) {
+                    self.close(number);
                 }
             }
         }
@@ -158,10 +159,10 @@
         else {
             return;
         };
-        let no = match self.idle[router].pop() {
-            Some(no) => no,
+        let number = match self.idle[router].pop() {
+            Some(number) => number,
             None => match self.open(router) {
-                Some(no) => no,
+                Some(number) => number,
                 None => return,
             },
         };
@@ -176,7 +177,7 @@
             if leaves_early { CLIENT_TIMEOUT_MS * random_unit(rng) } else { CLIENT_TIMEOUT_MS + LINGER_MS };
         let op = Op { id: self.next_op, asked_at: now, leaves_early };
         let text = statement(op.id, kind, group, session);
-        let Some(client) = self.clients.get_mut(&no) else { return };
+        let Some(client) = self.clients.get_mut(&number) else { return };
         let head = encode::query_header(text.len());
         client.stream.outgoing.extend([&head[..], text.as_bytes(), &[0]].concat());
         (client.op, client.how) = (Some(op), None);
@@ -186,53 +187,53 @@
             now,
             Seen::Asked { op: op.id, router, life, kind, group, session, wait: CLIENT_TIMEOUT_MS },
         ));
-        self.leave_at.insert(((now + connected_ms) as u64) << 20 | op.id & 0xf_ffff, no);
+        self.leave_at.insert(((now + connected_ms) as u64) << 20 | op.id & 0xf_ffff, number);
     }
 
     fn open(&mut self, router: usize) -> Option<usize> {
         let mut stream = BufferedStream::connect(self.plan.script.router_addr(router)).ok()?;
-        let no = self.next_client;
+        let number = self.next_client;
         self.next_client += 1;
-        stream.register(self.poll.registry(), Token(no)).ok()?;
+        stream.register(self.poll.registry(), Token(number)).ok()?;
         encode::startup_message(&mut stream.outgoing, "svc", "main");
         let client = Client { stream, router, opened: false, op: None, how: None };
-        self.clients.insert(no, client);
-        Some(no)
+        self.clients.insert(number, client);
+        Some(number)
     }
 
     /// Processes what the link of a client lets through.
-    fn on_ready(&mut self, no: usize) {
+    fn on_ready(&mut self, number: usize) {
         let now = self.epoch.now();
-        let Some(router) = self.clients.get(&no).map(|c| c.router) else { return };
+        let Some(router) = self.clients.get(&number).map(|c| c.router) else { return };
         let (stalled, reset) = self.plan.client_link(router, now, now);
-        let Some(client) = self.clients.get_mut(&no) else { return };
+        let Some(client) = self.clients.get_mut(&number) else { return };
         if reset {
             client.stream.reset();
-            return self.disconnected(no);
+            return self.close(number);
         }
         if stalled {
-            self.stalled.insert(no);
+            self.stalled.insert(number);
         } else {
             client.stream.read();
             client.stream.write();
         }
         loop {
-            let Some(client) = self.clients.get_mut(&no) else { return };
+            let Some(client) = self.clients.get_mut(&number) else { return };
             match frame::message(&client.stream.received, 1 << 20) {
                 Ok(Some((kind, body))) => {
                     let bytes = client.stream.received[body.clone()].to_vec();
                     client.stream.received.drain(..body.end);
-                    self.message(no, now, kind, &bytes);
+                    self.on_message(number, now, kind, &bytes);
                 }
-                Ok(None) if client.stream.closed => return self.disconnected(no),
+                Ok(None) if client.stream.closed => return self.close(number),
                 Ok(None) => return,
-                Err(_) => return self.disconnected(no),
+                Err(_) => return self.close(number),
             }
         }
     }
 
-    fn message(&mut self, no: usize, now: f64, kind: u8, body: &[u8]) {
-        let Some(client) = self.clients.get_mut(&no) else { return };
+    fn on_message(&mut self, number: usize, now: f64, kind: u8, body: &[u8]) {
+        let Some(client) = self.clients.get_mut(&number) else { return };
         let id = client.op.map(|op| op.id);
         match kind {
             b'D' => {
@@ -251,33 +252,33 @@
                 let busy = code.is_some_and(|c| c == b"53300" || c == b"57P03");
                 client.how = Some(if busy { How::Busy } else { How::Errored });
                 if frame::error_field(body, b'S') == Some(b"FATAL") {
-                    self.record_answer(no, now);
-                    self.disconnected(no);
+                    self.record_answer(number, now);
+                    self.close(number);
                 }
             }
             b'Z' if !client.opened => client.opened = true,
             b'Z' => {
-                self.record_answer(no, now);
-                let router = self.clients[&no].router;
-                self.idle[router].push(no);
+                self.record_answer(number, now);
+                let router = self.clients[&number].router;
+                self.idle[router].push(number);
             }
             _ => {}
         }
     }
 
-    fn record_answer(&mut self, no: usize, now: f64) {
-        let Some(client) = self.clients.get_mut(&no) else { return };
+    fn record_answer(&mut self, number: usize, now: f64) {
+        let Some(client) = self.clients.get_mut(&number) else { return };
         if let (Some(op), Some(how)) = (client.op.take(), client.how.take()) {
             self.record.push((now, Seen::Answered { op: op.id, how }));
         }
     }
 
-    /// The connection has ended. An op without an answer is lost, unless the connection was never established
-    /// or its client left early.
-    fn disconnected(&mut self, no: usize) {
+    /// Removes a client whose connection has ended or is to be closed. An op without an answer is lost,
+    /// unless the connection was never established or its client left early.
+    fn close(&mut self, number: usize) {
         let now = self.epoch.now();
-        let Some(client) = self.clients.remove(&no) else { return };
-        self.idle[client.router].retain(|n| *n != no);
+        let Some(client) = self.clients.remove(&number) else { return };
+        self.idle[client.router].retain(|n| *n != number);
         if let Some(op) = client.op {
             let outcome = if client.opened { How::Lost } else { How::Shut };
             let left_early =
--- a/crates/lab/src/tier/judge.rs
+++ b/crates/lab/src/tier/judge.rs
@@ -1,12 +1,19 @@
 //! The judge: checks the five rules against the events that clients, hosts and the other ends of the
 //! laboratory recorded. It relies on nothing that routers report. No I/O.
+//!
+//! 1. An op gets one final answer, of its own and in time; it is not sent to hosts after that or after its
+//!    client left.
+//! 2. No write takes effect twice or is repeated where it could, and none is busy-replied that may have run.
+//! 3. No op is sent to a host after the drain grace.
+//! 4. No cold host is overloaded.
+//! 5. No read returns data older than its op type allows, or from a host that was never listed.
 
 use super::plan::Plan;
 use super::record::{How, Kind, Record, STALENESS_BOUND_MS, Seen, TOKEN_WINDOW_MS};
 use std::collections::{BTreeMap, HashMap};
 
 /// How long an op may still be sent to hosts after its client left: the router has to notice it first.
-const LEFT_MS: f64 = 300.0;
+const LEAVE_DETECTION_MS: f64 = 300.0;
 
 /// Tolerances beyond the times of the rules, as the laboratory and all routers share one machine.
 #[derive(Clone, Copy, Debug)]
@@ -158,7 +165,7 @@
                     what: format!("host {host} was overloaded while cold"),
                 });
             }
-            // Killed until started, stopped until continued.
+            // A kill lasts until the next start, a suspension until the process is resumed.
             Seen::Killed { router } | Seen::Stopped { router, on: true } => {
                 outages.entry(router).or_default().push((*at, f64::INFINITY));
             }
@@ -201,7 +208,7 @@
             let after = op
                 .sends
                 .iter()
-                .filter(|(sent_at, _)| *sent_at > left_at + LEFT_MS + slack.sent_ms && !excused);
+                .filter(|(sent_at, _)| *sent_at > left_at + LEAVE_DETECTION_MS + slack.sent_ms && !excused);
             after.for_each(|(sent_at, host)| {
                 let late = sent_at - left_at;
                 breach(
@@ -242,7 +249,7 @@
         if op.answers.iter().filter(|(_, how)| *how != How::Lost).count() > 1 {
             breach(1, op.asked_at, format!("{name} got {} answers", op.answers.len()));
         }
-        // Rule 2: no effect twice, and a busy reply only if a retry is harmless.
+        // Rule 2: no effect twice, and a busy reply only if the write cannot have run (a retry is harmless).
         if op.kind.is_write() {
             let effects = op.runs.iter().filter(|(.., again)| !again).count();
             if effects > 1 {
@@ -341,7 +348,7 @@
         let required = match op.kind {
             Kind::Fresh => last_commit_before(acked.get(&op.group), op.asked_at),
             Kind::Session => last_commit_before(sessions.get(&(op.session, op.router, op.life)), op.asked_at),
-            // The record does not tell which send was served: the last one that reached a host is assumed.
+            // The record does not show which send was answered: the last one that reached a host is assumed.
             Kind::Bounded => {
                 let last_send_at =
                     op.sends.iter().map(|(sent_at, _)| *sent_at).fold(f64::NEG_INFINITY, f64::max);
--- a/crates/lab/src/tier/judge/tests.rs
+++ b/crates/lab/src/tier/judge/tests.rs
@@ -69,9 +69,9 @@
 fn a_send_after_the_client_left_breaches_rule_1() {
     let left = |at| (at, Seen::Left { op: 1 });
     assert!(breached_rules(vec![asked(1, 0.0, Kind::Any), left(5.0)]).is_empty(), "no answer is required");
-    let soon = vec![asked(1, 0.0, Kind::Any), left(5.0), got(1, 5.0 + LEFT_MS, 1)];
+    let soon = vec![asked(1, 0.0, Kind::Any), left(5.0), got(1, 5.0 + LEAVE_DETECTION_MS, 1)];
     assert!(breached_rules(soon).is_empty());
-    let late = 6.0 + LEFT_MS + SLACK.sent_ms;
+    let late = 6.0 + LEAVE_DETECTION_MS + SLACK.sent_ms;
     assert_eq!(breached_rules(vec![asked(1, 0.0, Kind::Any), left(5.0), got(1, late, 1)]), [1]);
     // A send before the client left does not excuse a later one.
     let again = vec![asked(1, 0.0, Kind::Any), got(1, 1.0, 0), left(5.0), got(1, late, 1)];
--- a/crates/lab/src/tier/list.rs
+++ b/crates/lab/src/tier/list.rs
@@ -41,7 +41,7 @@
     }
     last.retain(|c| !full || c.state != ListState::Gone);
     let mut text = format!("{{\"version\":{version},\"full\":{full},\"servers\":[");
-    for (no, change) in last.iter().enumerate() {
+    for (index, change) in last.iter().enumerate() {
         let (host, s) = (change.host, &plan.script);
         let state = match change.state {
             ListState::Ready => "Ready",
@@ -51,9 +51,10 @@
         let started = change.started.map_or(0.0, |at| epoch.unix_ms + at);
         let _ = write!(
             text,
-            "{}{{\"id\":\"h-{host}\",\"addr\":\"{}\",\"zone\":\"z{}\",\"kind\":\"m\",\"cell\":{},\"state\":\"{state}\",\
+            "{}{{\"id\":\"h-{host}\",\"addr\":\"{}\",\"zone\":\"z{}\",\"kind\":\"m\",\"cell\":{},\
+             \"state\":\"{state}\",\
              \"weight\":{:.1},\"started_ms\":{started:.0}}}",
-            if no == 0 { "" } else { "," },
+            if index == 0 { "" } else { "," },
             s.host_addr(router, host),
             s.zone_of_host(host),
             s.group_of(host),
@@ -140,9 +141,9 @@
 /// By router: whether a fault silences the service for it.
 fn silenced(plan: &Plan, now: f64) -> Vec<bool> {
     let mut silenced = vec![false; plan.script.routers];
-    for (no, what) in plan.active_faults(now) {
+    for (fault_index, what) in plan.active_faults(now) {
         if let What::SilenceList { routers } = what {
-            plan.script.selected_routers(no, routers).into_iter().for_each(|r| silenced[r] = true);
+            plan.script.selected_routers(fault_index, routers).into_iter().for_each(|r| silenced[r] = true);
         }
     }
     silenced
--- a/crates/lab/src/tier/peers.rs
+++ b/crates/lab/src/tier/peers.rs
@@ -22,7 +22,7 @@
 const MAX_DATAGRAM_BYTES: usize = 256;
 /// The receiver number that stands for all routers: the highest that an address can encode.
 pub const BROADCAST: usize = 1_023;
-/// Interval between the recorded totals of datagrams and bytes.
+/// Interval at which the numbers of datagrams and bytes are recorded.
 const REPORT_INTERVAL_MS: f64 = 1_000.0;
 
 /// A datagram to be forwarded at its due time.
@@ -45,7 +45,7 @@
     // Due times in microseconds, so that they are ordered, and the numbers of the held datagrams.
     let (mut order, mut held) = (BinaryHeap::<Reverse<(u64, u64)>>::new(), HashMap::<u64, Held>::new());
     let (mut next, mut rng, mut forgery_rng) = (0, s.rng(77), s.rng(78));
-    // Datagrams and bytes that each router sent since the last recorded totals.
+    // Datagrams and bytes that each router has sent since they were last recorded.
     let (mut sent, mut record, mut report_at, mut forged_at) =
         (vec![(0, 0); s.routers], Record::new(), 0.0, 0.0);
     loop {
@@ -87,12 +87,12 @@
             held.insert(next, Held { from, to, bytes });
             order.push(Reverse(((now * 1e3) as u64, next)));
         });
-        while let Some(Reverse((at, no))) = order.peek().copied() {
+        while let Some(Reverse((at, number))) = order.peek().copied() {
             if at as f64 / 1e3 > now {
                 break;
             }
             order.pop();
-            if let Some(Held { from, to, bytes }) = held.remove(&no) {
+            if let Some(Held { from, to, bytes }) = held.remove(&number) {
                 // The source is the address at which the receiver reaches the sender.
                 forward(
                     socket.as_raw_fd(),
@@ -118,8 +118,7 @@
 }
 
 /// Sends the datagrams of a [`What::Liar`] fault: random bytes from random routers to random routers.
-/// `next_at` is the time of the next one. It is at most a second behind, so that no longer pause is made up
-/// for.
+/// `next_at` is the time of the next one; after a pause, at most one second of it is made up for.
 fn inject_forged(
     plan: &Plan,
     now: f64,
--- a/crates/lab/src/tier/plan.rs
+++ b/crates/lab/src/tier/plan.rs
@@ -1,5 +1,5 @@
 //! The plan of a run, derived from its script: the state of each host in the list, the primary of each group,
-//! and the faults of each link, at any time. No I/O, no clock.
+//! and the faults of each link, at any time. Times are in ms since the start of the run. No I/O, no clock.
 
 use super::script::{Script, What, Who};
 
@@ -114,13 +114,13 @@
         let mut primaries: Vec<(f64, usize, usize)> =
             (0..s.groups).filter_map(|g| s.members(g).first().map(|first| (0.0, g, *first))).collect();
         let (mut links, mut peers) = (Vec::new(), Vec::new());
-        for (no, fault) in s.faults.iter().enumerate() {
+        for (fault_index, fault) in s.faults.iter().enumerate() {
             let (from, until) = (fault.at_ms, fault.at_ms + fault.for_ms);
             let mut link = |routers: Vec<bool>, hosts: Vec<bool>, effect| {
                 links.push(Link { from, until, routers, hosts, effect });
             };
-            let routers = |who: &Who| membership_mask(&s.selected_routers(no, who), s.routers);
-            let hosts = |who: &Who| membership_mask(&s.selected_hosts(no, who), s.hosts);
+            let routers = |who: &Who| membership_mask(&s.selected_routers(fault_index, who), s.routers);
+            let hosts = |who: &Who| membership_mask(&s.selected_hosts(fault_index, who), s.hosts);
             let mut peer = |from_routers: Vec<bool>, to_routers: Vec<bool>, effect| {
                 peers.push(PeerLink { from, until, senders: from_routers, receivers: to_routers, effect });
             };
@@ -150,7 +150,7 @@
                 }
                 What::StallPeers { from: a, to: b } => peer(routers(a), routers(b), PeerEffect::Stall),
                 What::Replace { hosts: who } => {
-                    let chosen = s.selected_hosts(no, who);
+                    let chosen = s.selected_hosts(fault_index, who);
                     let interval = fault.for_ms / chosen.len().max(1) as f64;
                     for (i, old) in chosen.into_iter().enumerate() {
                         let (at, new) = (from + i as f64 * interval, old + s.hosts);
@@ -185,7 +185,7 @@
                     }
                 }
                 What::Crash { hosts: who } => {
-                    for host in s.selected_hosts(no, who) {
+                    for host in s.selected_hosts(fault_index, who) {
                         let started = Some(until);
                         changes.push(ListChange { at: until, host, state: ListState::Ready, started });
                         let group = s.group_of(host);
@@ -246,26 +246,28 @@
     /// Whether a host is down by a crash in the script.
     pub fn is_down(&self, host: usize, at: f64) -> bool {
         let base = host % self.script.hosts;
-        self.active_faults(at).any(|(no, what)| match what {
-            What::Crash { hosts } => host == base && self.script.selected_hosts(no, hosts).contains(&base),
+        self.active_faults(at).any(|(fault_index, what)| match what {
+            What::Crash { hosts } => {
+                host == base && self.script.selected_hosts(fault_index, hosts).contains(&base)
+            }
             _ => false,
         })
     }
 
-    /// The factor by which faults slow a host down, and by how many ms they put it behind.
+    /// The factor by which faults slow a host down, and the lag in ms that they add: (slowdown, lag).
     pub fn slowdown_and_lag(&self, host: usize, at: f64) -> (f64, f64) {
         let (mut slowdown, mut lag) = (1.0, 0.0);
-        for (no, what) in self.active_faults(at) {
+        for (fault_index, what) in self.active_faults(at) {
             match what {
                 What::Slow { hosts, times: factor }
-                    if self.script.selected_hosts(no, hosts).contains(&host) =>
+                    if self.script.selected_hosts(fault_index, hosts).contains(&host) =>
                 {
                     slowdown *= factor
                 }
                 // A log position never goes back: a host that falls behind stays at its position until the
                 // lag is reached.
-                What::Lag { hosts, ms } if self.script.selected_hosts(no, hosts).contains(&host) => {
-                    lag += ms.min(at - self.script.faults[no].at_ms);
+                What::Lag { hosts, ms } if self.script.selected_hosts(fault_index, hosts).contains(&host) => {
+                    lag += ms.min(at - self.script.faults[fault_index].at_ms);
                 }
                 _ => {}
             }
@@ -275,16 +277,21 @@
 
     /// Whether a fault makes a host report a current commit clock, however far it is behind.
     pub fn claims_current(&self, host: usize, at: f64) -> bool {
-        self.active_faults(at).any(|(no, what)| match what {
-            What::Boast { hosts } => self.script.selected_hosts(no, hosts).contains(&host),
+        self.active_faults(at).any(|(fault_index, what)| match what {
+            What::Boast { hosts } => self.script.selected_hosts(fault_index, hosts).contains(&host),
             _ => false,
         })
     }
 
-    /// Active faults, with their index in the script.
+    /// The faults that are active at this time, each with its index in the script.
     pub fn active_faults(&self, at: f64) -> impl Iterator<Item = (usize, &What)> {
         let is_active = move |f: &super::script::Fault| f.at_ms <= at && at < f.at_ms + f.for_ms;
-        self.script.faults.iter().enumerate().filter(move |(_, f)| is_active(f)).map(|(no, f)| (no, &f.what))
+        self.script
+            .faults
+            .iter()
+            .enumerate()
+            .filter(move |(_, f)| is_active(f))
+            .map(|(fault_index, f)| (fault_index, &f.what))
     }
 
     /// The state of the link between a router and a host. A replacement has the link of the host that it
@@ -308,16 +315,16 @@
     /// between these: (stalled, reset).
     pub fn client_link(&self, router: usize, from: f64, until: f64) -> (bool, bool) {
         let (mut stalled, mut reset) = (false, false);
-        for (no, fault) in self.script.faults.iter().enumerate() {
+        for (fault_index, fault) in self.script.faults.iter().enumerate() {
             if fault.at_ms > until || fault.at_ms + fault.for_ms <= from {
                 continue;
             }
             match &fault.what {
                 What::StallClients { routers } => {
-                    stalled |= self.script.selected_routers(no, routers).contains(&router)
+                    stalled |= self.script.selected_routers(fault_index, routers).contains(&router)
                 }
                 What::ResetClients { routers } => {
-                    reset |= self.script.selected_routers(no, routers).contains(&router)
+                    reset |= self.script.selected_routers(fault_index, routers).contains(&router)
                 }
                 _ => {}
             }
@@ -362,7 +369,8 @@
 
     fn plan(faults: &str) -> Plan {
         let text = format!(
-            "seed = 7\nlasts_ms = 9000\nrouters = 6\nzones = 3\ngroups = 2\nhosts = 6\n[load]\nops = 10\n{faults}"
+            "seed = 7\nlasts_ms = 9000\nrouters = 6\nzones = 3\ngroups = 2\nhosts = 6\n\
+             [load]\nops = 10\n{faults}"
         );
         Plan::new(Script::from_toml(&text).unwrap())
     }
@@ -401,7 +409,10 @@
         let who = Who::Part(0.5);
         assert_eq!(a.script.selected_routers(0, &who), plan("").script.selected_routers(0, &who));
         assert_eq!(a.script.selected_routers(0, &who).len(), 3);
-        assert!((1..20).any(|no| a.script.selected_routers(no, &who) != a.script.selected_routers(0, &who)));
+        assert!(
+            (1..20).any(|fault_index| a.script.selected_routers(fault_index, &who)
+                != a.script.selected_routers(0, &who))
+        );
     }
 
     #[test]
--- a/crates/lab/src/tier/report.rs
+++ b/crates/lab/src/tier/report.rs
@@ -127,8 +127,8 @@
     let seconds = outcome.plan.ends_at() / 1e3;
     let stats = outcome_share_stats(outcome, 0.0, s.lasts_ms);
     lines.push(format!(
-        "ops {} acked {:.4} breaches {:?} crashed {} | part p99 {:.2} median {:.2} least {:.2} of {} | of a core a router \
-         {:.4} | datagrams a second and router {:.2}, bytes {:.0}",
+        "ops {} acked {:.4} breaches {:?} crashed {} | part p99 {:.2} median {:.2} least {:.2} of {} | \
+         of a core a router {:.4} | datagrams a second and router {:.2}, bytes {:.0}",
         total.asked,
         total.acked as f64 / (total.asked - total.excused).max(1) as f64,
         outcome.verdict.by_rule(),
--- a/crates/lab/src/tier/runner.rs
+++ b/crates/lab/src/tier/runner.rs
@@ -15,9 +15,9 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 
-/// The programs of a run, and the folder of its files.
+/// The programs of a run and the folder for its files.
 pub struct Environment {
-    /// The router, or the laboratory's build of it, which supports clocks that are off.
+    /// The router binary; for scripts with [`What::ClockOff`], `magpiewell-staged`, which has an option for it.
     pub router: PathBuf,
     pub lab: PathBuf,
     pub folder: PathBuf,
@@ -35,16 +35,16 @@
     pub epoch: Epoch,
 }
 
-/// Tolerance beyond the times of the rules, for a machine that runs all processes at once. Not a promise
-/// about the router.
+/// Tolerances beyond the times of the rules, as one machine runs all processes at once. They say nothing
+/// about what the router guarantees.
 pub const SLACK: Slack = Slack { answer_ms: 400.0, sent_ms: 250.0, grace_ms: 500.0 + 250.0, age_ms: 100.0 };
 /// File name of the template of the tier settings.
 const TEMPLATE: &str = "tier.jsonnet";
 /// Drain grace in the configuration of the routers; also part of `SLACK.grace_ms`.
-const GRACE_S: f64 = 0.5;
-/// Time from the start of the processes to the start of the run: a fixed part, and a part for each router.
-const START_MS: f64 = 1_000.0;
-const START_EACH_MS: f64 = 12.0;
+const DRAIN_GRACE_S: f64 = 0.5;
+/// Time from the start of the processes to the start of the run: a fixed part and one per router.
+const START_DELAY_MS: f64 = 1_000.0;
+const START_DELAY_PER_ROUTER_MS: f64 = 12.0;
 /// How long routers may take to exit after SIGTERM at the end of the run.
 const EXIT_TIMEOUT_MS: f64 = 6_000.0;
 
@@ -67,10 +67,10 @@
     }
     let plan = Plan::new(script);
     let s = &plan.script;
-    let epoch = Epoch::starting_in(START_MS + START_EACH_MS * s.routers as f64);
-    let mut parts = Vec::new();
+    let epoch = Epoch::starting_in(START_DELAY_MS + START_DELAY_PER_ROUTER_MS * s.routers as f64);
+    let mut host_processes = Vec::new();
     for part in 0..s.host_process_count() {
-        let to = environment.folder.join(format!("hosts-{part}.bin"));
+        let record_file = environment.folder.join(format!("hosts-{part}.bin"));
         let mut command = Command::new(&environment.lab);
         command.arg("hosts").arg("--script").arg(&file).arg("--part").arg(part.to_string());
         command
@@ -78,9 +78,9 @@
             .arg(epoch.monotonic_ms.to_string())
             .arg("--unix")
             .arg(epoch.unix_ms.to_string());
-        command.arg("--record").arg(&to).stdin(Stdio::null());
+        command.arg("--record").arg(&record_file).stdin(Stdio::null());
         let child = command.spawn().map_err(|e| format!("{}: {e}", environment.lab.display()))?;
-        parts.push((KillOnDrop(child), to));
+        host_processes.push((KillOnDrop(child), record_file));
     }
     let start_counts = StartCounts((0..s.routers).map(|_| AtomicU32::new(0)).collect());
     let mut routers =
@@ -101,9 +101,9 @@
     })?;
     let processor_ms = routers.processor_times();
     routers.terminate();
-    for (mut part, file) in parts {
-        part.0.wait().map_err(|e| e.to_string())?;
-        record.extend(record::read(&file)?);
+    for (mut process, record_file) in host_processes {
+        process.0.wait().map_err(|e| e.to_string())?;
+        record.extend(record::read(&record_file)?);
     }
     record.sort_by(|a, b| a.0.total_cmp(&b.0));
     let verdict = judge::judge(&plan, &record, SLACK);
@@ -153,11 +153,11 @@
         let mut actions = scheduled_actions(plan);
         loop {
             let now = self.epoch.now();
-            let Some(Reverse((at, no))) = actions.order.pop() else { break };
+            let Some(Reverse((at, index))) = actions.order.pop() else { break };
             if at as f64 / 1e3 > now {
                 std::thread::sleep(std::time::Duration::from_secs_f64((at as f64 / 1e3 - now) / 1e3));
             }
-            let (now, action) = (self.epoch.now(), actions.all[no]);
+            let (now, action) = (self.epoch.now(), actions.all[index]);
             match action {
                 Action::Kill(r) => {
                     record.push((now, Seen::Killed { router: r as u32 }));
@@ -186,7 +186,7 @@
         }
         let left = self.plan.ends_at() - self.epoch.now();
         std::thread::sleep(std::time::Duration::from_secs_f64(left.max(0.0) / 1e3));
-        // The last action on a router tells whether its exit is expected.
+        // The last action on a router determines whether its exit is expected.
         let expected_exit = |r: usize| {
             actions.all.iter().rev().find_map(|action| match action {
                 Action::Kill(k) | Action::Terminate(k) if *k == r => Some(true),
@@ -198,7 +198,7 @@
             if let Ok(Some(status)) = process.child.try_wait()
                 && expected_exit(*router) != Some(true)
             {
-                self.crashed.push(format!("router {router} ended by itself: {status}"));
+                self.crashed.push(format!("router {router} exited unexpectedly: {status}"));
             }
         }
         Ok(record)
@@ -212,9 +212,9 @@
         let log = folder.join(format!("router-{router}-{life}.log"));
         let log = File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
         let mut command = Command::new(&self.environment.router);
-        for (no, fault) in s.faults.iter().enumerate() {
+        for (fault_index, fault) in s.faults.iter().enumerate() {
             if let What::ClockOff { routers, ms } = &fault.what
-                && s.selected_routers(no, routers).contains(&router)
+                && s.selected_routers(fault_index, routers).contains(&router)
             {
                 command.arg("--clock-off-ms").arg(ms.to_string());
             }
@@ -254,11 +254,11 @@
                 match process.child.try_wait() {
                     Ok(Some(status)) if status.success() || status.code().is_none() => break,
                     Ok(Some(status)) => {
-                        self.crashed.push(format!("router {router} ended with {status}"));
+                        self.crashed.push(format!("router {router} exited with {status}"));
                         break;
                     }
                     _ if self.epoch.now() > until => {
-                        self.crashed.push(format!("router {router} did not end when asked to"));
+                        self.crashed.push(format!("router {router} did not exit in time after SIGTERM"));
                         break;
                     }
                     _ => std::thread::sleep(std::time::Duration::from_millis(5)),
@@ -277,7 +277,7 @@
     }
 }
 
-/// Actions, and their due times in microseconds with their indices.
+/// Actions, and their due times in microseconds with their indices in `all`.
 struct ActionQueue {
     all: Vec<Action>,
     order: BinaryHeap<Reverse<(u64, usize)>>,
@@ -289,23 +289,23 @@
         actions.order.push(Reverse(((at * 1e3) as u64, actions.all.len())));
         actions.all.push(action);
     };
-    for (no, fault) in plan.script.faults.iter().enumerate() {
+    for (fault_index, fault) in plan.script.faults.iter().enumerate() {
         let (at, until) = (fault.at_ms, fault.at_ms + fault.for_ms);
         match &fault.what {
             What::Kill { routers, again_ms } => {
-                for r in plan.script.selected_routers(no, routers) {
+                for r in plan.script.selected_routers(fault_index, routers) {
                     add(at, Action::Kill(r));
                     add(at + again_ms, Action::Start(r));
                 }
             }
             What::Stop { routers } => {
-                for r in plan.script.selected_routers(no, routers) {
+                for r in plan.script.selected_routers(fault_index, routers) {
                     add(at, Action::Stop(r));
                     add(until, Action::Continue(r));
                 }
             }
             What::Restart { routers, again_ms } => {
-                let all = plan.script.selected_routers(no, routers);
+                let all = plan.script.selected_routers(fault_index, routers);
                 let each = fault.for_ms / all.len().max(1) as f64;
                 for (i, r) in all.into_iter().enumerate() {
                     add(at + i as f64 * each, Action::Terminate(r));
@@ -327,7 +327,8 @@
             Kind::Once => "single_shot",
             _ => "free",
         };
-        serde_json::json!({"name": kind.name(), "effect": effect, "deadline_s": clients::CLIENT_TIMEOUT_MS / 1e3,
+        serde_json::json!({"name": kind.name(), "effect": effect,
+            "deadline_s": clients::CLIENT_TIMEOUT_MS / 1e3,
             "goal_time_s": clients::CLIENT_TIMEOUT_MS / 2e3, "group": "cell", "late_worth": 0.3, "value": 1,
             "window_s": TOKEN_WINDOW_MS / 1e3})
     };
@@ -345,7 +346,10 @@
         "name": format!("r{router}"),
         "listen": s.router_addr(router).to_string(),
         "discovery": s.list_addr(router).to_string(),
-        "seed": format!("{:x}", s.seed.wrapping_mul(1_000_003).wrapping_add((router as u64) << 8 | u64::from(life))),
+        "seed": format!(
+            "{:x}",
+            s.seed.wrapping_mul(1_000_003).wrapping_add((router as u64) << 8 | u64::from(life))
+        ),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024},
         "peer_listen": s.peer_listen_addr(router).to_string(),
         "peers": (0..s.routers).map(|p| s.peer_proxy_addr(router, p).to_string()).collect::<Vec<_>>(),
@@ -354,7 +358,8 @@
             "balancers": s.routers, "me": router, "tick_s": 0.005, "discovery": "automatic",
             "areas": zones, "az": s.zone_of_router(router),
             "classes": Kind::ALL.map(kind),
-            "extra": {"behind": if s.unchecked { "off" } else { "refuse" }, "read_level": Kind::ALL.map(level),
+            "extra": {"behind": if s.unchecked { "off" } else { "refuse" },
+                "read_level": Kind::ALL.map(level),
                 "staleness_bound_s": Kind::ALL.map(bound), "write_marks": "remembered"},
             "tenants": [{"name": "acme", "quota_rps": s.load.ops * 2.0}],
             "limits": {"max_attempts": 4, "may_cancel": true, "probes": true, "retry_after": true,
@@ -362,7 +367,7 @@
             "charges": {"probe": 0.01, "handshake": 0.05, "cross_zone": 0.04, "peer": 0.01},
             "clients": {"marks_retry": true},
             "report": {"fields": ["x0", "x1"], "via": "inline"},
-            "rules": {"cold_from": h.cold_from, "cold_s": h.cold_ms / 1e3, "drain_grace_s": GRACE_S,
+            "rules": {"cold_from": h.cold_from, "cold_s": h.cold_ms / 1e3, "drain_grace_s": DRAIN_GRACE_S,
                 "fall_multiple": h.fall_multiple, "fall_s": h.fall_ms / 1e3}
         }
     });
--- a/crates/lab/src/tier/script.rs
+++ b/crates/lab/src/tier/script.rs
@@ -14,8 +14,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Script {
     pub seed: u64,
-    /// How long clients send ops, and how long the tier is observed after that (`tail_ms`).
+    /// How long clients send ops.
     pub lasts_ms: f64,
+    /// How long the tier is observed after that.
     #[serde(default = "default_tail_ms")]
     pub tail_ms: f64,
     pub routers: usize,
@@ -107,13 +108,19 @@
     pub read_ms: f64,
     pub write_ms: f64,
     pub spread: f64,
+    /// Number of statements that may wait for a core; beyond it they are rejected.
     pub queue: usize,
+    /// Number of connections beyond which startup messages are refused.
     pub connections: usize,
     /// Work that a new connection costs the host.
     pub dial_ms: f64,
+    /// How far a replica is behind its primary without faults.
     pub lag_ms: f64,
+    /// The fraction of its capacity that a host has when it starts; it has all of it `cold_ms` later.
     pub cold_from: f64,
     pub cold_ms: f64,
+    /// A cold host goes down if the work that arrives within `fall_ms` exceeds this multiple of what it can
+    /// do in that time.
     pub fall_multiple: f64,
     pub fall_ms: f64,
     /// How long a host stays down after it was overloaded.
@@ -310,7 +317,7 @@
     /// of each.
     pub fn select(
         &self,
-        fault: usize,
+        fault_index: usize,
         who: &Who,
         count: usize,
         zone_of: impl Fn(usize) -> usize,
@@ -321,7 +328,7 @@
             Who::Some(some) => (0..count).filter(|n| some.contains(n)).collect(),
             Who::Zone(zone) => (0..count).filter(|n| zone_of(*n) == *zone).collect(),
             Who::Part(part) => {
-                let mut rng = self.rng(5_000 + fault as u64);
+                let mut rng = self.rng(5_000 + fault_index as u64);
                 let mut order: Vec<(u64, usize)> = (0..count).map(|n| (rng.next_u64(), n)).collect();
                 order.sort_unstable();
                 let selected_count = (count as f64 * part.clamp(0.0, 1.0)).round() as usize;
@@ -334,14 +341,14 @@
     }
 
     /// The routers that a fault affects.
-    pub fn selected_routers(&self, fault: usize, who: &Who) -> Vec<usize> {
-        self.select(fault, who, self.routers, |n| self.zone_of_router(n))
+    pub fn selected_routers(&self, fault_index: usize, who: &Who) -> Vec<usize> {
+        self.select(fault_index, who, self.routers, |n| self.zone_of_router(n))
     }
 
     /// The hosts that a fault affects, of those at the start of the run. Faults on links apply to their
     /// replacements too.
-    pub fn selected_hosts(&self, fault: usize, who: &Who) -> Vec<usize> {
-        self.select(fault, who, self.hosts, |n| self.zone_of_host(n))
+    pub fn selected_hosts(&self, fault_index: usize, who: &Who) -> Vec<usize> {
+        self.select(fault_index, who, self.hosts, |n| self.zone_of_host(n))
     }
 
     // Addresses. All are on loopback; each pair of ends has an address of its own, so that every link can be
--- a/crates/lab/tests/tier.rs
+++ b/crates/lab/tests/tier.rs
@@ -1,4 +1,4 @@
-//! Several router processes with stand-in hosts under every kind of fault of links, processes and clocks. No
+//! Several router processes with simulated hosts under every kind of fault of links, processes and clocks. No
 //! rule may be broken and no router may crash, and once the faults are over every op must be acked.
 
 use magpiewell_lab::tier::record::{How, Seen};
