--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -22,7 +22,7 @@
         served += usize::from(answer == crate::client::Answer::Acked);
     }
     let unknown = client.read(99, 1_000).map_err(|e| e.to_string())?;
-    println!("a read for a group that no list has named: {unknown:?}, harmless to try again");
+    println!("a read for a group without hosts in the list: {unknown:?}, safe to retry");
     let (threads, memory_mb) = process.thread_count_and_memory_mb();
     println!("{served} of 5 served; the router has {threads} threads and {memory_mb:.1} MB");
     Ok(served == 5)
--- a/crates/lab/src/limit.rs
+++ b/crates/lab/src/limit.rs
@@ -47,7 +47,9 @@
 
 /// Processor time, memory and threads with idle clients, without and with suspensions.
 fn measure_idle_clients(router: &Path, host: SocketAddr, max_clients: usize) -> Result<(), String> {
-    println!("idle clients | threads | MB | of a core, alone | of a core, stopped | stops a second");
+    println!(
+        "idle clients | threads | MB | of a core, undisturbed | of a core, suspended | suspensions a second"
+    );
     let mut counts = vec![0, 100, 250, 700, 1_000, 1_500, 10_000];
     counts.retain(|count| *count <= max_clients);
     for count in counts {
@@ -213,7 +215,7 @@
     };
     println!(
         "clients | of a core | acked a second | busy-replied a second | unanswered | \
-         p50 ms | p99 ms | stops a second"
+         p50 ms | p99 ms | suspensions a second"
     );
     let measure_load = |clients: usize, honors_retry_after: bool| {
         let (process, throttle) = start_throttled()?;
@@ -228,7 +230,7 @@
         let unanswered = counts.unanswered.load(Relaxed);
         let latency_ms = |quantile| latencies_us.value_at_quantile(quantile) as f64 / 1000.0;
         let suspension_rate = throttle.finish() / 7;
-        let variant = if honors_retry_after { "" } else { " that ignore the time to come back" };
+        let variant = if honors_retry_after { "" } else { " that ignore retry-after" };
         println!(
             "{clients}{variant} | {core_share:.3} | {:.0} | {:.0} | {unanswered} | {:.1} | {:.1} | \
              {suspension_rate}",
@@ -287,7 +289,7 @@
     }
     println!(
         "seed {seed}: peak {peak:.0}/s with {peak_clients} clients; twice {:.2}, four times {:.2}, \
-         ignoring {:.2} of it; trigger: {before:.0}/s before, {during:.0} during, {after:.0} \
+         ignoring retry-after {:.2} of it; overload: {before:.0}/s before, {during:.0} during, {after:.0} \
          after; unanswered {}",
         acked_at_twice / peak,
         acked_at_four_times / peak,
--- a/crates/lab/src/spread.rs
+++ b/crates/lab/src/spread.rs
@@ -1,7 +1,7 @@
 //! The proof that load is spread evenly over hosts although each router sees only a small part of it.
-//! Hundreds of router processes run under the script's faults, once with and once without the exchange of
-//! observations between routers (the control). Both are compared with what a single router that sees all
-//! reads would have done with the same reads.
+//! Hundreds of router processes run under the script's faults, once with and once without peer exchange, that
+//! is, the exchange of observations between routers; the run without it is the control. Both are compared
+//! with what a single router that sees all reads would have done with the same reads.
 
 use crate::tier::record::{Record, Seen};
 use crate::tier::report::{self, WINDOW_MS};
@@ -22,7 +22,7 @@
 const MIN_SHARE: f64 = 0.5;
 /// Datagrams per second and router in the steady state.
 const MAX_DATAGRAMS_PER_SECOND: f64 = 2.0;
-/// Processor time that the exchange of observations takes, in cores per router.
+/// Processor time that the peer exchange takes, in cores per router.
 const MAX_EXCHANGE_CORES: f64 = 0.02;
 
 /// The steady state is measured in a run without faults, from this time on: by then the routers have
@@ -179,12 +179,12 @@
     };
     let without_faults = Script { faults: Vec::new(), lasts_ms: STEADY_RUN_MS, ..script.clone() };
     let control = Script { tier: None, ..script.clone() };
-    let steady = run("told one another, no faults", without_faults.clone())?;
-    let steady_control = run("alone, no faults", Script { tier: None, ..without_faults })?;
-    let outcome = run("told one another", script)?;
-    let control = run("alone: the control", control)?;
+    let steady = run("with peer exchange, no faults", without_faults.clone())?;
+    let steady_control = run("without peer exchange, no faults", Script { tier: None, ..without_faults })?;
+    let outcome = run("with peer exchange", script)?;
+    let control = run("without peer exchange: the control", control)?;
     let (from, until) = (0.0, outcome.plan.script.lasts_ms);
-    println!("parts of warm replicas in windows of two seconds: p99, median, least");
+    println!("relative shares of warm replicas in windows of two seconds: p99, median, minimum");
     let print_stats = |name: &str, stats: report::ShareStats| {
         println!("  {name}: {:.2} {:.2} {:.2} of {}", stats.p99, stats.median, stats.min, stats.count)
     };
@@ -193,9 +193,9 @@
         report::outcome_share_stats(&outcome, from, until),
         report::outcome_share_stats(&control, from, until),
     );
-    print_stats("told one another", stats);
-    print_stats("alone", control_stats);
-    print_stats("one that sees everything: the floor", floor);
+    print_stats("with peer exchange", stats);
+    print_stats("without peer exchange", control_stats);
+    print_stats("a single router that sees all reads: the floor", floor);
     for (name, chooser) in [
         ("round robin", Chooser::RoundRobin),
         ("random", Chooser::Random),
@@ -213,14 +213,14 @@
     let (datagrams, exchange_cores) =
         (datagrams_per_second(&steady), cores_per_router(&steady) - cores_per_router(&steady_control));
     let requirements = [
-        ("rules broken or crashed", failures as f64, failures == 0),
+        ("rules broken or routers crashed", failures as f64, failures == 0),
         ("p99 over the floor's", p99_over_floor, p99_over_floor <= MAX_P99_OVER_FLOOR),
-        ("the most in a second after an event", max_share, max_share <= 2.0),
-        ("the least of its part five seconds after", min_share, min_share >= MIN_SHARE),
-        ("datagrams a second and router", datagrams, datagrams <= MAX_DATAGRAMS_PER_SECOND),
-        ("of a core a router", exchange_cores, exchange_cores <= MAX_EXCHANGE_CORES),
+        ("maximum share in a second after an event", max_share, max_share <= 2.0),
+        ("minimum share five seconds after the start or an outage", min_share, min_share >= MIN_SHARE),
+        ("datagrams per second and router", datagrams, datagrams <= MAX_DATAGRAMS_PER_SECOND),
+        ("cores per router for the peer exchange", exchange_cores, exchange_cores <= MAX_EXCHANGE_CORES),
         (
-            "the control's p99 over the floor's, must be more than is promised",
+            "the control's p99 over the floor's, must exceed the limit",
             control_p99_over_floor,
             control_p99_over_floor > MAX_P99_OVER_FLOOR,
         ),
@@ -232,7 +232,8 @@
     }
     println!(
         "seed {seed}: rules {failures}, p99 {p99_over_floor:.2} of the floor \
-         (alone {control_p99_over_floor:.2}), after events {max_share:.2}, least {min_share:.2}, \
+         (without peer exchange {control_p99_over_floor:.2}), maximum after events {max_share:.2}, \
+         minimum {min_share:.2}, \
          datagrams {datagrams:.2}, processor {exchange_cores:.4}; broken: {}",
         if unmet.is_empty() { "none".to_string() } else { unmet.join("; ") }
     );
@@ -243,9 +244,9 @@
     let mut page = format!(
         "<!doctype html><meta charset=utf-8><title>Load over hosts, seed {seed}</title>\n\
          <h1>Load over hosts, seed {seed}</h1>\n<p>Each line is a warm replica's reads in a second over \
-         its part of its group's; 1 is even.</p>\n"
+         its fair share of its group's; 1 is even.</p>\n"
     );
-    for (name, outcome) in [("told one another", outcome), ("alone", control)] {
+    for (name, outcome) in [("with peer exchange", outcome), ("without peer exchange", control)] {
         page.push_str(&format!("<h2>{name}</h2>\n{}\n", plot(outcome).map_err(|e| e.to_string())?));
     }
     std::fs::write(path, page).map_err(|e| format!("{}: {e}", path.display()))
@@ -271,7 +272,7 @@
             .x_label_area_size(30)
             .y_label_area_size(40)
             .build_cartesian_2d(0.0..seconds as f64, 0.0..4.0)?;
-        chart.configure_mesh().x_desc("seconds").y_desc("part").draw()?;
+        chart.configure_mesh().x_desc("seconds").y_desc("relative share").draw()?;
         for fault in &s.faults {
             let (a, b) = (fault.at_ms / 1e3, (fault.at_ms + fault.for_ms.max(200.0)) / 1e3);
             if b - a < seconds as f64 * 0.8 {
--- a/crates/lab/tests/limit.rs
+++ b/crates/lab/tests/limit.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 /// Starts clients that run until `stop` is set: half of them send op after op without waiting for the
-/// retry-after time, the others connect and close, or send an invalid startup message. `drained` counts clients that the router
-/// disconnected between two ops.
+/// retry-after time, the others connect and close, or send an invalid startup message. `drained` counts
+/// clients that the router disconnected between two ops.
 fn flood(
     addr: SocketAddr,
     stop: &Arc<AtomicBool>,
