--- a/crates/lab/src/capacity/list.rs
+++ b/crates/lab/src/capacity/list.rs
@@ -125,8 +125,8 @@
 }
 
 /// Returns the reason that a router logs for rejecting a list longer than its memory limit allows; an error
-/// if it accepts the list. When the machine stalls, the router may report the list service as silent instead, and
-/// the attempt is repeated with a new router.
+/// if it accepts the list. When the machine stalls, the router may report the list service as silent instead,
+/// and the attempt is repeated with a new router.
 pub fn rejection_reason(router: &Path, hosts: usize, memory_mb: usize) -> Result<String, String> {
     let mut reason = first_failure(router, hosts, memory_mb)?;
     for _ in 1..MAX_ATTEMPTS {
--- a/crates/lab/src/scale/judge.rs
+++ b/crates/lab/src/scale/judge.rs
@@ -17,7 +17,7 @@
 const MAX_MACHINE_MEMORY_SHARE: f64 = 0.5;
 /// With more late ticks the machine was too busy for the other figures to be meaningful.
 const MAX_LATE_TICK_SHARE: f64 = 0.001;
-/// Within this time a lost zone has to be marked dead and a new primary to be known.
+/// Within this time a lost zone has to be marked dead, and a new primary has to be known.
 pub const DETECTION_LIMIT_S: u32 = 9;
 /// Times after the loss of the zone, or after a change of primary, at which the shares are read.
 const LOST_MARKED_DEAD_CHECKS_S: [u32; 3] = [DETECTION_LIMIT_S, 30, 90];
@@ -116,8 +116,8 @@
         match (self.target, self.value) {
             (None, _) => false,
             (Some(_), None) => true,
-            (Some(Target::AtLeast(least)), Some(value)) => value < least,
-            (Some(Target::AtMost(most)), Some(value)) => value > most,
+            (Some(Target::AtLeast(min)), Some(value)) => value < min,
+            (Some(Target::AtMost(max)), Some(value)) => value > max,
         }
     }
 }
@@ -425,11 +425,11 @@
 
     fn max_bytes(&self, window: Window) -> Option<f64> {
         let during = self.entries.iter().filter(|entry| (window.from..window.until).contains(&entry.at));
-        let most = during.filter_map(|entry| match entry.event {
+        let max_bytes = during.filter_map(|entry| match entry.event {
             Event::Totals { totals, .. } => Some(totals.most_bytes as f64),
             _ => None,
         });
-        most.reduce(f64::max)
+        max_bytes.reduce(f64::max)
     }
 
     fn add_processor(&self, figures: &mut Vec<Figure>) {
--- a/crates/lab/src/scale/prove.rs
+++ b/crates/lab/src/scale/prove.rs
@@ -12,22 +12,27 @@
 pub const DEFAULT_REAL_ROUTERS: usize = 12;
 pub const DEFAULT_PROCESSES: usize = 12;
 pub const ZONES: usize = 6;
-/// Less than how far ahead a fact's timestamp may be.
+/// How far the clocks of one hollow process are ahead: less than a fact's timestamp may be.
 pub const CLOCK_AHEAD_MS: f64 = 1_000.0;
 /// Default UDP port of all routers.
 pub const DEFAULT_PORT: u16 = 24_800;
 /// The deployed settings of the tier.
 pub const TEMPLATE: &str = include_str!("../../../../deploy/tier.jsonnet");
 
-/// The deployed settings without zone evidence, so that each member is judged on its own, and without pulls.
+/// The deployed settings without zone evidence, so that each member is judged on its own, without pulling of
+/// facts, and with a burst of 12 instead of 8.
 pub const TEMPLATE_WITHOUT_ZONE_EVIDENCE: &str = include_str!("../../scripts/tier-without-zones.jsonnet");
 
 /// The sizes and seed of a proof.
 pub struct Request {
     pub seed: u64,
+    /// The number of hollow routers.
     pub hollow: usize,
+    /// The number of real routers.
     pub real: usize,
+    /// The number of processes that run the hollow routers.
     pub processes: usize,
+    /// UDP port of all routers.
     pub port: u16,
 }
 
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -14,7 +14,7 @@
 const SOCKETS: usize = 256;
 /// Interval at which a real router logs its figures.
 pub const FIGURES_INTERVAL_MS: f64 = 10_000.0;
-/// The host list service is an address on which nothing listens; the router starts with the empty list in its
+/// The address of the host list service: nothing listens there, so the router keeps the empty list of its
 /// configuration.
 const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
--- a/crates/lab/src/scale/recorder.rs
+++ b/crates/lab/src/scale/recorder.rs
@@ -224,7 +224,7 @@
         self.add(Entry { at: self.epoch.now(), event });
     }
 
-    /// Waits until the condition holds; false if it doesn't within the time limit.
+    /// Waits until the condition holds; false if it doesn't within `timeout`.
     pub fn wait_until(&self, timeout: Duration, condition: impl Fn(&View) -> bool) -> bool {
         let deadline = Instant::now() + timeout;
         let mut state = self.lock();
@@ -237,7 +237,7 @@
                 return false;
             }
             drop(state);
-            // Entries arrive by the thousand, so that the condition is not evaluated after each.
+            // Entries arrive by the thousand, so the condition is not evaluated after each one.
             std::thread::sleep(POLL_INTERVAL.min(remaining));
             state = self.lock();
         }
