--- a/crates/lab/src/spread.rs
+++ b/crates/lab/src/spread.rs
@@ -233,8 +233,7 @@
     println!(
         "seed {seed}: rules {failures}, p99 {p99_over_floor:.2} of the floor \
          (without peer exchange {control_p99_over_floor:.2}), maximum after events {max_share:.2}, \
-         minimum {min_share:.2}, \
-         datagrams {datagrams:.2}, processor {exchange_cores:.4}; broken: {}",
+         minimum {min_share:.2}, datagrams {datagrams:.2}, processor {exchange_cores:.4}; broken: {}",
         if unmet.is_empty() { "none".to_string() } else { unmet.join("; ") }
     );
     Ok(unmet.is_empty())
--- a/crates/lab/src/tier/judge.rs
+++ b/crates/lab/src/tier/judge.rs
@@ -3,7 +3,8 @@
 //!
 //! 1. An op gets one final answer, of its own and in time; it is not sent to hosts after that or after its
 //!    client left.
-//! 2. No write takes effect twice or is repeated where it could, and none is busy-replied that may have run.
+//! 2. A write takes effect at most once, is not sent again if the repeat could take effect, and is not
+//!    busy-replied if it may have run.
 //! 3. No op is sent to a host after the drain grace.
 //! 4. No cold host is overloaded.
 //! 5. No read returns data older than its op type allows, or from a host that was never listed.
--- a/crates/lab/src/tier/runner.rs
+++ b/crates/lab/src/tier/runner.rs
@@ -17,7 +17,7 @@
 
 /// The programs of a run and the folder for its files.
 pub struct Environment {
-    /// The router binary; for scripts with [`What::ClockOff`], `magpiewell-staged`, which has an option for it.
+    /// The router binary. Scripts with [`What::ClockOff`] need an option that only `magpiewell-staged` has.
     pub router: PathBuf,
     pub lab: PathBuf,
     pub folder: PathBuf,
