--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -184,7 +184,7 @@
     let parser = Arc::new(op_facts::OpFactsParser::new(&start.adapter_options, shared.limits.wait_most_ms));
     let mut router = route::Router::new(
         shared.clone(),
-        start.terms,
+        start.policy_options,
         &start.adapter_options,
         start.seed,
         list_retries,
--- a/crates/router/src/route/tests.rs
+++ b/crates/router/src/route/tests.rs
@@ -18,8 +18,15 @@
     let shared = test_shared();
     let (_hosts, commands) = crate::host_loop::new(&shared, crossbeam_channel::unbounded().0).unwrap();
     let list_requests = crossbeam_channel::bounded(1).0;
-    let mut router =
-        Router::new(shared.clone(), start.terms, &start.adapter_options, 1, list_requests, commands, None);
+    let mut router = Router::new(
+        shared.clone(),
+        start.policy_options,
+        &start.adapter_options,
+        1,
+        list_requests,
+        commands,
+        None,
+    );
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for (no, is_gone) in [(7, true), (8, false)] {
         let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/crates/router/src/tier.rs
+++ b/crates/router/src/tier.rs
@@ -83,7 +83,7 @@
     let (poll, socket, waker) = opened?;
     let (sender, observations) = crossbeam_channel::bounded(shared.limits.max_observations);
     let limits = limits(options, shared.limits.peers_tick);
-    let zone = u8::try_from(startup.terms.zone).ok();
+    let zone = u8::try_from(startup.policy_options.zone).ok();
     let started_at = shared.clock.now().max(0.0) as u64;
     let key = options.key.as_deref().map(Key::new);
     let identity = Identity { local: roster.local, roster_size: roster.addrs.len(), zone, started_at };
--- a/crates/terms/src/startup.rs
+++ b/crates/terms/src/startup.rs
@@ -28,7 +28,7 @@
     pub last_known_list: Option<Value>,
     /// The routers of the tier. An error matters only to a router that exchanges datagrams with its peers.
     pub roster: Result<Option<Roster>, String>,
-    pub terms: PolicyOptions,
+    pub policy_options: PolicyOptions,
     pub adapter_options: AdapterOptions,
 }
 
@@ -116,7 +116,7 @@
     let last_known_list = lookup(root, "known").cloned();
     let roster = roster(root).map_err(|e| e.replace("settings lack", "lacks").replace("settings key", "key"));
     let settings = required(root, "settings", Some)?;
-    let (terms, adapter_options) = settings::parse_value(settings)
+    let (policy_options, adapter_options) = settings::parse_value(settings)
         .map_err(|e| e.replace("settings lack '", "lacks 'settings.").replace("key '", "key 'settings."))?;
     Ok(StartupOptions {
         name: optional(root, "name", Value::as_str, "router")?.to_string(),
@@ -128,7 +128,7 @@
         max_sockets,
         last_known_list,
         roster,
-        terms,
+        policy_options,
         adapter_options,
     })
 }
