--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -44,7 +44,7 @@
     pub tier: Option<std::path::PathBuf>,
 }
 
-/// Reads and checks the settings of the tier; none where there are none, or where they switch it off.
+/// Reads and checks the settings of the tier; `None` if no file is given, or if it switches the tier off.
 fn read_tier(options: &Options) -> Result<Option<TierOptions>, String> {
     let Some(path) = &options.tier else { return Ok(None) };
     let with_path = |why: String| format!("{}: {}", path.display(), why.replace("settings key", "key"));
@@ -82,21 +82,21 @@
     let path = std::env::var(startup::CONFIG_FILE_VARIABLE)
         .map_err(|_| format!("{} is not set", startup::CONFIG_FILE_VARIABLE))?;
     let text = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
-    let (start, configuration) = startup::parse(&text).map_err(|e| format!("{path}: {e}"))?;
-    if let Some(known) = &start.last_known_list {
+    let (startup_options, configuration) = startup::parse(&text).map_err(|e| format!("{path}: {e}"))?;
+    if let Some(known) = &startup_options.last_known_list {
         list::parse_entries(known, &[], |_, _, _, _| ()).map_err(|e| format!("key 'known': {e}"))?;
     }
-    Ok((start, configuration))
+    Ok((startup_options, configuration))
 }
 
 /// Applies a new configuration as a whole or not at all: a faulty file changes nothing.
 fn reload(watcher: &Arc<list::ListWatcher>, current: &Value) {
     match read_configuration() {
         Err(why) => tracing::warn!(%why, "configuration refused, the old one stays"),
-        Ok((start, new)) => {
-            let restart = startup::keys_requiring_restart(current, &new);
-            tracing::info!(list = %start.list_addr, ?restart, "configuration read anew");
-            if !watcher.follow(start.list_addr, None) {
+        Ok((startup_options, new)) => {
+            let restart_keys = startup::keys_requiring_restart(current, &new);
+            tracing::info!(list = %startup_options.list_addr, restart = ?restart_keys, "configuration read anew");
+            if !watcher.follow(startup_options.list_addr, None) {
                 tracing::warn!("cannot start a thread for the list: the old address stays");
             }
         }
@@ -108,7 +108,7 @@
 struct Reloads {
     watcher: Arc<list::ListWatcher>,
     configuration: Value,
-    /// Reloads requested since the last time that none was pending.
+    /// Requested reloads that no completed one covers yet; 0 while no thread is running.
     pending: AtomicUsize,
 }
 
@@ -147,19 +147,19 @@
     // Installed before anything slow: a signal without a handler would end the router.
     let mut signals = signals::catch()?;
     let level = log_level()?;
-    let (start, configuration) = read_configuration()?;
-    let tier = read_tier(&options)?;
+    let (startup_options, configuration) = read_configuration()?;
+    let tier_options = read_tier(&options)?;
     tracing_subscriber::fmt().with_max_level(level).with_ansi(false).with_writer(std::io::stderr).init();
-    // If only one thread ended by a panic, the router would seem to run without working.
+    // By default a panic ends only its own thread, and the router would keep running without working.
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         default_hook(panic);
         std::process::exit(101);
     }));
-    let limits = limits::Limits::new(&start);
-    let listener = listen(start.listen_addr, &limits)?;
-    let listen = listener.local_addr().map_err(|e| e.to_string())?;
-    tracing::info!(name = start.name, %listen, ?limits, "started");
+    let limits = limits::Limits::new(&startup_options);
+    let listener = listen(startup_options.listen_addr, &limits)?;
+    let listen_addr = listener.local_addr().map_err(|e| e.to_string())?;
+    tracing::info!(name = startup_options.name, listen = %listen_addr, ?limits, "started");
 
     let (events, events_receiver) = unbounded();
     let (updates, updates_receiver) = unbounded();
@@ -169,29 +169,30 @@
     let waker = mio::Waker::new(poll.registry(), client_loop::WAKE).map_err(|e| e.to_string())?;
     let clock = clock::Clock::start(overrides.clock_off_ms);
     let shared = shared::Shared::new(limits, overrides, clock, wakeups, waker);
-    let (hosts, orders) =
+    let (host_loop, commands) =
         host_loop::new(&shared, events.clone()).map_err(|e| format!("cannot poll host connections: {e}"))?;
-    let peers = match &tier {
-        Some(options) => tier::new(&shared, events.clone(), &start, options)?,
+    let peer_loop = match &tier_options {
+        Some(options) => tier::new(&shared, events.clone(), &startup_options, options)?,
         None => None,
     };
-    if tier.is_some() && peers.is_none() {
+    if tier_options.is_some() && peer_loop.is_none() {
         tracing::warn!(
             "the tier is off: routers exchange nothing without peers, peer_listen and limits.may_tell"
         );
     }
-    let (peers, observations) = peers.unzip();
-    let parser = Arc::new(op_facts::OpFactsParser::new(&start.adapter_options, shared.limits.wait_most_ms));
+    let (peer_loop, observations) = peer_loop.unzip();
+    let parser =
+        Arc::new(op_facts::OpFactsParser::new(&startup_options.adapter_options, shared.limits.wait_most_ms));
     let mut router = route::Router::new(
         shared.clone(),
-        start.policy_options,
-        &start.adapter_options,
-        start.seed,
+        startup_options.policy_options,
+        &startup_options.adapter_options,
+        startup_options.seed,
         list_retries,
-        orders,
+        commands,
         observations,
     );
-    if let Some(known) = &start.last_known_list {
+    if let Some(known) = &startup_options.last_known_list {
         router.apply_host_list(known, true);
         tracing::info!("ready with the list as last known");
     }
@@ -208,12 +209,12 @@
     let no_thread = "cannot start a thread";
     let decision_thread =
         shared.spawn("route", move || router.run(&events_receiver, &updates_receiver)).ok_or(no_thread)?;
-    shared.spawn("hosts", move || hosts.run()).ok_or(no_thread)?;
-    if let Some(peers) = peers {
-        shared.spawn("peers", move || peers.run()).ok_or(no_thread)?;
+    shared.spawn("hosts", move || host_loop.run()).ok_or(no_thread)?;
+    if let Some(peer_loop) = peer_loop {
+        shared.spawn("peers", move || peer_loop.run()).ok_or(no_thread)?;
     }
     let client_thread = shared.spawn("clients", move || client_loop.run()).ok_or(no_thread)?;
-    if !watcher.follow(start.list_addr, start.last_known_list.as_ref()) {
+    if !watcher.follow(startup_options.list_addr, startup_options.last_known_list.as_ref()) {
         return Err(no_thread.into());
     }
     let reloads = Arc::new(Reloads { watcher, configuration, pending: AtomicUsize::new(0) });
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -5,16 +5,16 @@
 
 /// The platform expects a router to know a change of the host list after this time even where its list watch
 /// fell silent, or two seconds after the watch's wait if that is later; this holds in every deployment. Until
-/// then the router has to notice the silence, connect and get an answer; each has the slack as its time, and
-/// one of the three may take twice that.
-const LIST_SILENT_MS: f64 = 6_000.0;
+/// then the router has to notice the silence, connect and get an answer. Each of the three may take
+/// `LIST_SLACK_MS`, and one of them twice that.
+const LIST_CHANGE_DEADLINE_MS: f64 = 6_000.0;
 const LIST_SLACK_MS: f64 = 1_000.0;
 
 /// Descriptors that the router itself uses: 3 standard streams, the listener, both loops with their wakers
 /// (4), signals (2), peers, a configuration being read, and two list watches with two descriptors each (4).
 const OWN_DESCRIPTORS: usize = 16;
 
-/// The limits. Their names are logged at start.
+/// The limits, which are logged with their names at startup.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Processor time granted, in cores; the interval at which its use is measured, and the processor time
@@ -34,7 +34,7 @@
     pub startup_bytes: usize,
     /// Longest host list that is read. Reading, checking and parsing it takes several times as much memory.
     pub list_bytes: usize,
-    /// Most bytes of one read; longer buffers count towards `held_bytes`.
+    /// Bytes read at once; longer buffers count towards `held_bytes`.
     pub read_bytes: usize,
     /// Total of statements, answers and long buffers in memory; beyond it new ops are rejected.
     pub held_bytes: usize,
@@ -42,7 +42,7 @@
     pub stack_bytes: usize,
     /// Length of the accept queue.
     pub backlog: i32,
-    /// Clients accepted, and reads from one client, before other clients are served.
+    /// Clients accepted per iteration of the client loop, and reads from one client per turn.
     pub accepts_a_turn: usize,
     pub reads_a_turn: usize,
     /// Events that a loop handles per iteration.
@@ -98,10 +98,10 @@
     /// counts as silent; connecting to the service may take that much, too.
     pub list_wait_ms: u64,
     pub list_slack: Duration,
-    /// A list that answers at once without a change is called again no sooner than this after the call
-    /// before. Well within the 200 ms after which the next call starts a new watch.
+    /// After a response without a change, the next list request is sent no sooner than this after
+    /// the one before. Well within the 200 ms after which the next request starts a new watch.
     pub list_pause: Duration,
-    /// A failed call to the list is repeated this long after it began at the latest.
+    /// A failed list request is repeated no later than this after it began, or at once if it took longer.
     pub list_again: Duration,
     /// After a request to stop: new clients are accepted for `grace`, as the platform sends them for 0.4 s
     /// more, and those in the accept queue for `last_look` after it. Clients are served until `linger`, and
@@ -113,9 +113,9 @@
     pub stop: Duration,
     /// Clients that are still connected this long after `stop` are disconnected.
     pub cut: Duration,
-    /// How far ahead of the clock a commit may lie, as it is rounded up.
+    /// How far ahead of the clock a commit's time may lie, as it is rounded up to a whole ms.
     pub ahead_ms: f64,
-    /// How often figures are logged.
+    /// How often totals and current counts are logged.
     pub figures_ms: f64,
     /// Interval of the peer thread's ticks.
     pub peers_tick: Duration,
@@ -124,19 +124,19 @@
 }
 
 impl Limits {
-    pub fn new(start: &StartupOptions) -> Limits {
-        let memory_bytes = start.memory_mb * 1024.0 * 1024.0;
+    pub fn new(startup_options: &StartupOptions) -> Limits {
+        let memory_bytes = startup_options.memory_mb * 1024.0 * 1024.0;
         // Spare descriptors: the router's own, and those of clients that are being closed.
-        let leaving = start.max_sockets / 16 + 8;
-        let sockets = start.max_sockets - leaving - OWN_DESCRIPTORS;
-        // A client has its buffers, but few use all of them; a quarter of the memory is for clients.
+        let leaving = startup_options.max_sockets / 16 + 8;
+        let sockets = startup_options.max_sockets - leaving - OWN_DESCRIPTORS;
+        // A quarter of the memory is for clients, 16 KiB each: few clients use all of their buffers.
         let clients = (sockets * 2 / 3).min((memory_bytes / 4.0 / (16.0 * 1024.0)) as usize).max(8);
         // The platform grants the longest op timeout, of 3 s at most, and 0.7 s more; 0.2 s of that are kept
         // in reserve.
-        let longest_ms = start.adapter_options.op_timeouts_ms.iter().fold(0.0f64, |a, b| a.max(*b));
+        let longest_ms = startup_options.adapter_options.op_timeouts_ms.iter().fold(0.0f64, |a, b| a.max(*b));
         let stop = longest_ms.min(3000.0) / 1000.0 + 0.7 - 0.2;
         Limits {
-            cores: start.cores,
+            cores: startup_options.cores,
             budget_ms: 50.0,
             open_ms: 0.03,
             refuse_ms: 0.015,
@@ -158,7 +158,7 @@
             faults: 16,
             opening_ms: 1_200.0,
             command_ms: 1_500.0,
-            crowd: start.max_sockets / 8,
+            crowd: startup_options.max_sockets / 8,
             idle_ms: 2_050.0,
             silent_ms: 20.0,
             drain_bytes: 256 * 1024,
@@ -170,11 +170,13 @@
             idle_beat_ms: 45.0,
             rest_ms: 3.0,
             tidy_ms: 1_000.0,
-            host_idle: Duration::from_secs_f64(start.adapter_options.conn_idle_timeout_ms * 0.75 / 1000.0),
+            host_idle: Duration::from_secs_f64(
+                startup_options.adapter_options.conn_idle_timeout_ms * 0.75 / 1000.0,
+            ),
             idle_check: Duration::from_secs(1),
-            dial_ms: start.adapter_options.connect_timeout_ms,
-            probe_ms: start.adapter_options.connect_timeout_ms,
-            list_wait_ms: (LIST_SILENT_MS - 4.0 * LIST_SLACK_MS) as u64,
+            dial_ms: startup_options.adapter_options.connect_timeout_ms,
+            probe_ms: startup_options.adapter_options.connect_timeout_ms,
+            list_wait_ms: (LIST_CHANGE_DEADLINE_MS - 4.0 * LIST_SLACK_MS) as u64,
             list_slack: Duration::from_secs_f64(LIST_SLACK_MS / 1000.0),
             list_pause: Duration::from_millis(100),
             list_again: Duration::from_millis(500),
--- a/crates/router/src/limits/tests.rs
+++ b/crates/router/src/limits/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 fn limits(op_timeout_s: f64) -> Limits {
-    let start = String::from_utf8(MINIMAL_CONFIGURATION.to_vec()).unwrap();
-    let class = format!(
+    let configuration = String::from_utf8(MINIMAL_CONFIGURATION.to_vec()).unwrap();
+    let op_type = format!(
         r#""classes":[{{"name":"look","effect":"free","deadline_s":{op_timeout_s},"goal_time_s":1,"value":1}}]"#
     );
-    let start = start.replace(r#""classes":[]"#, &class);
+    let configuration = configuration.replace(r#""classes":[]"#, &op_type);
     let levels = r#""read_level":["any"],"staleness_bound_s":[0]"#;
-    let start = start.replace(r#""read_level":[],"staleness_bound_s":[]"#, levels);
-    Limits::new(&magpiewell_terms::startup::parse(start.as_bytes()).unwrap().0)
+    let configuration = configuration.replace(r#""read_level":[],"staleness_bound_s":[]"#, levels);
+    Limits::new(&magpiewell_terms::startup::parse(configuration.as_bytes()).unwrap().0)
 }
 
 /// The platform sends clients for 0.4 s after a request to stop, and ends the process no sooner than the
@@ -25,34 +25,34 @@
     }
 }
 
-/// Covers what may happen to the call during which the list changes: it stays silent for as long as a call
-/// lasts, and the next one is refused, times out or is answered as late as possible.
+/// Covers what may happen to the request during which the list changes: it gets no response until it times
+/// out, and the next one is refused, times out or is answered as late as possible.
 #[test]
-fn a_list_change_is_known_in_time_whatever_happened_to_the_calls_before() {
+fn a_list_change_is_known_in_time_whatever_happened_to_the_requests_before() {
     let l = limits(1.0);
     let deadline = Duration::from_secs(6);
     let watch = Duration::from_millis(l.list_wait_ms) + l.list_slack;
-    // Connecting is part of a call, and may take its full time again where it succeeds at the last moment.
+    // Connecting is part of a request, and may take its full time again if it succeeds at the last moment.
     let (connect, answer) = (l.list_slack, l.list_slack);
-    assert!(watch + connect + answer <= deadline, "a silent watch, then a call");
+    assert!(watch + connect + answer <= deadline, "a silent watch, then a request");
     assert!(
         watch + l.list_again + connect + answer <= deadline,
-        "the same, where the call in between is refused"
+        "the same, where the request in between is refused"
     );
     assert!(connect + l.list_again + connect + answer <= deadline, "connections that don't come up");
     // A process that knows no list asks for all of it without a wait.
     let ready = Duration::from_secs(10);
-    assert!((l.list_slack + l.list_again) * 5 <= ready, "five calls without an answer");
+    assert!((l.list_slack + l.list_again) * 5 <= ready, "five requests without an answer");
 }
 
 /// Counts all descriptors that may be open at once, with those that the router itself uses.
 #[test]
 fn all_descriptors_together_stay_within_the_grant() {
     for sockets in [64, 100, 128, 512, 544, 672, 1024, 65_536] {
-        let start = String::from_utf8(MINIMAL_CONFIGURATION.to_vec()).unwrap();
-        let start = start.replace(r#""sockets":256"#, &format!(r#""sockets":{sockets}"#));
-        let start = start.replace(r#""memory_mb":32"#, r#""memory_mb":100000"#);
-        let l = Limits::new(&magpiewell_terms::startup::parse(start.as_bytes()).unwrap().0);
+        let configuration = String::from_utf8(MINIMAL_CONFIGURATION.to_vec()).unwrap();
+        let configuration = configuration.replace(r#""sockets":256"#, &format!(r#""sockets":{sockets}"#));
+        let configuration = configuration.replace(r#""memory_mb":32"#, r#""memory_mb":100000"#);
+        let l = Limits::new(&magpiewell_terms::startup::parse(configuration.as_bytes()).unwrap().0);
         let all = l.clients + l.leaving + l.host_connections + OWN_DESCRIPTORS;
         assert!(all <= sockets, "{all} of {sockets}");
     }
--- a/crates/router/src/tier.rs
+++ b/crates/router/src/tier.rs
@@ -52,7 +52,7 @@
     observations: Receiver<Observation>,
     tier: Tier,
     /// Addresses of the tier's members, by member id.
-    peers: Vec<SocketAddr>,
+    member_addrs: Vec<SocketAddr>,
     /// Member ids by address.
     member_ids: HashMap<SocketAddr, u16>,
     /// Datagrams dropped, as last logged.
@@ -63,33 +63,33 @@
     unknown_senders: u64,
 }
 
-/// The peer loop, not running yet; `None` where routers may not exchange anything. Errors name the address.
+/// The peer loop, not running yet; `None` if routers may not exchange anything. Errors name the address.
 pub fn new(
     shared: &Arc<Shared>,
     events: Sender<Event>,
-    startup: &StartupOptions,
-    options: &TierOptions,
+    startup_options: &StartupOptions,
+    tier_options: &TierOptions,
 ) -> Result<Option<(PeerLoop, ObservationSender)>, String> {
-    let Some(roster) = startup.roster.clone()? else { return Ok(None) };
-    let listen = roster.listen_addr;
+    let Some(roster) = startup_options.roster.clone()? else { return Ok(None) };
+    let listen_addr = roster.listen_addr;
     let open = || {
         let poll = Poll::new()?;
-        let mut socket = UdpSocket::bind(listen)?;
+        let mut socket = UdpSocket::bind(listen_addr)?;
         poll.registry().register(&mut socket, SOCKET, Interest::READABLE)?;
         let waker = Waker::new(poll.registry(), WAKE)?;
         Ok((poll, socket, waker))
     };
-    let opened = open().map_err(|e: std::io::Error| format!("cannot listen for peers at {listen}: {e}"));
+    let opened = open().map_err(|e: std::io::Error| format!("cannot listen for peers at {listen_addr}: {e}"));
     let (poll, socket, waker) = opened?;
     let (sender, observations) = crossbeam_channel::bounded(shared.limits.max_observations);
-    let limits = limits(options, shared.limits.peers_tick);
-    let zone = u8::try_from(startup.policy_options.zone).ok();
+    let limits = limits(tier_options, shared.limits.peers_tick);
+    let zone = u8::try_from(startup_options.policy_options.zone).ok();
     let started_at = shared.clock.now().max(0.0) as u64;
-    let key = options.key.as_deref().map(Key::new);
+    let key = tier_options.key.as_deref().map(Key::new);
     let identity = Identity { local: roster.local, roster_size: roster.addrs.len(), zone, started_at };
-    let tier = Tier::new(identity, startup.seed, key, limits).map_err(|e| format!("'peers': {e}"))?;
+    let tier = Tier::new(identity, startup_options.seed, key, limits).map_err(|e| format!("'peers': {e}"))?;
     let member_ids = roster.addrs.iter().copied().zip(0..).collect();
-    let (shared, peers) = (shared.clone(), roster.addrs);
+    let (shared, member_addrs) = (shared.clone(), roster.addrs);
     let dropped = Dropped::default();
     let peer_loop = PeerLoop {
         shared,
@@ -98,7 +98,7 @@
         poll,
         observations,
         tier,
-        peers,
+        member_addrs,
         member_ids,
         dropped,
         evicted: 0,
@@ -107,7 +107,7 @@
     Ok(Some((peer_loop, ObservationSender { sender, waker })))
 }
 
-/// The limits of a tier with these settings and this tick.
+/// The limits of a tier with these options, whose protocol is ticked at this interval.
 pub fn limits(options: &TierOptions, tick: Duration) -> Limits {
     let mut limits = Limits {
         fanout: options.fanout,
@@ -184,7 +184,7 @@
     /// Sends datagrams, logs zone changes, and passes events to the decision thread.
     fn handle_output(&mut self, output: Output) {
         for datagram in output.datagrams {
-            if let Some(addr) = self.peers.get(usize::from(datagram.to)) {
+            if let Some(addr) = self.member_addrs.get(usize::from(datagram.to)) {
                 // A failed send counts as a lost datagram, which the protocol tolerates.
                 drop(self.socket.send_to(&datagram.bytes, *addr));
             }
