--- a/crates/router/src/client_loop.rs
+++ b/crates/router/src/client_loop.rs
@@ -21,10 +21,10 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-/// Token that wakes the loop; client ids begin behind the two tokens.
+/// Token of the waker. A client's id is its token, so ids begin after the two tokens here.
 pub const WAKE: Token = Token(0);
 const LISTENER: Token = Token(1);
-const FIRST_CLIENT: u64 = 2;
+const FIRST_CLIENT_ID: u64 = 2;
 
 /// Accepts, serves, drains and evicts clients, within the limits and the budget of processor time.
 pub struct ClientLoop {
@@ -45,7 +45,7 @@
     /// Clients that may have more to read than one turn allows.
     queued: Vec<u64>,
     scratch: Vec<u8>,
-    next: u64,
+    next_client_id: u64,
     budget: Budget,
     admission: AdmissionLimits,
     accept_limiter: AcceptLimiter,
@@ -87,7 +87,7 @@
             timers: Timers::default(),
             queued: Vec::new(),
             scratch,
-            next: FIRST_CLIENT,
+            next_client_id: FIRST_CLIENT_ID,
             accept_until: None,
             is_draining_all: false,
         })
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Measures the processor time that the process has used, and sets what may be admitted from it.
+    /// Measures the processor time that the process has used, and derives the admission limits from it.
     fn update_budget(&mut self) {
         let now = self.shared.clock.now();
         if now < self.next_budget_at {
@@ -154,7 +154,7 @@
         self.next_budget_at = now + self.shared.limits.budget_ms;
         let used = rustix::time::clock_gettime(rustix::time::ClockId::ProcessCPUTime);
         let used = used.tv_sec as f64 * 1e3 + used.tv_nsec as f64 / 1e6;
-        let admission = self.budget.update(now, used, self.shared.refused.load(Relaxed));
+        let admission = self.budget.update(now, used, self.shared.refused_ops.load(Relaxed));
         let before = std::mem::replace(&mut self.admission, admission);
         let AdmissionLimits { mode, batch_delay_ms, accepts_per_second, admitted_share, retry_after_ms } =
             self.admission;
@@ -205,7 +205,7 @@
         next.min(interval)
     }
 
-    /// Serves a client with `turn`, and records what comes of it.
+    /// Runs one turn of a client, and handles its outcome.
     fn serve(&mut self, id: u64, turn: impl FnOnce(&mut ClientReader, &mut [u8]) -> Outcome) {
         let Some(reader) = self.readers.get_mut(&id) else { return };
         let (was_draining, had_valid_op) = (reader.is_draining, reader.has_valid_op);
@@ -219,8 +219,8 @@
                 self.timers.set(id, None);
                 return;
             }
-            // Queued once, however often it is served meanwhile: a flood would else gain a turn, and memory,
-            // each time.
+            // Queued once, however often it is served meanwhile: otherwise a client that floods the router
+            // would gain a turn, and memory, each time.
             Outcome::ReadMore if !std::mem::replace(&mut reader.is_queued, true) => self.queued.push(id),
             Outcome::ReadMore => {}
             Outcome::Wait => {}
@@ -261,9 +261,9 @@
             if !self.may_accept {
                 return;
             }
-            // Full: a client is evicted at once, so that accepting keeps pace with silent clients, which only
-            // use up evictions. Where all are busy, or too many are still draining, new ones wait in the
-            // accept queue.
+            // When full, a client is evicted at once, so that accepting keeps pace with clients that connect
+            // and stay silent: each of them costs one eviction. If all are busy, or too many are still
+            // draining, new ones wait in the accept queue.
             let (max_clients, max_connections) = (limits.clients, limits.clients + limits.leaving);
             let has_room = self.not_draining() < max_clients || self.make_room();
             if !has_room || self.shared.clients() >= max_connections {
@@ -279,7 +279,7 @@
                 Err(rustix::io::Errno::WOULDBLOCK) => self.may_accept = false,
                 Err(rustix::io::Errno::INTR | rustix::io::Errno::CONNABORTED) => {}
                 Err(e) => {
-                    // Out of descriptors or memory: costs new connections, but never the router.
+                    // Out of descriptors or memory: new connections fail, but the router keeps running.
                     tracing::warn!(error = %e, clients = self.shared.clients(), "cannot accept a client");
                     self.make_room();
                     return;
@@ -289,9 +289,9 @@
     }
 
     fn add_client(&mut self, stream: TcpStream) {
-        let id = self.next;
-        self.next += 1;
-        // Watched for writing only once it is slow, which saves a wake-up per client.
+        let id = self.next_client_id;
+        self.next_client_id += 1;
+        // Also polled for writing only once the client is slow, which saves a wake-up per client.
         let (token, reads) = (Token(id as usize), Interest::READABLE);
         if self.poll.registry().register(&mut SourceFd(&stream.as_raw_fd()), token, reads).is_err() {
             return;
@@ -322,15 +322,15 @@
 
     /// Drains one client to make room: the one idle longest of those that have sent no valid op yet or
     /// nothing but faults since, unless it has only just connected and may be about to send one; else the one
-    /// idle longest of the others, if for long enough. False where there is none.
+    /// idle longest of the others, if for long enough. False if there is none.
     fn make_room(&mut self) -> bool {
         let (silent_ms, idle_ms) = (self.shared.limits.silent_ms, self.shared.limits.idle_ms);
         let candidate = self.longest_idle(false, silent_ms).or_else(|| self.longest_idle(true, idle_ms));
         candidate.inspect(|id| self.serve(*id, ClientReader::drain)).is_some()
     }
 
-    /// Drains idle clients beyond the crowd limit: one that sends an op and stays would keep others out,
-    /// whose own limits count such connections too.
+    /// Drains idle clients beyond the crowd limit. Clients that stay connected after an op would keep others
+    /// out, because the limits on the clients' side count idle connections too.
     fn drain_idle(&mut self) {
         while self.not_draining() > self.shared.limits.crowd {
             let idle_ms = self.shared.limits.idle_ms;
@@ -349,7 +349,7 @@
             return false;
         }
         // Clients in the accept queue are lost when it closes, so they are accepted in one last period, which
-        // lasts its full time even where the router was delayed. It is limited, as some clients go on
+        // lasts its full time even if the router was delayed. It is limited, as some clients go on
         // connecting whatever happens.
         let Some(accept_until) = self.accept_until else {
             self.accept_until = Some(now + limits.last_look.as_secs_f64() * 1000.0);
--- a/crates/router/src/client_reader.rs
+++ b/crates/router/src/client_reader.rs
@@ -29,8 +29,7 @@
     parser: Arc<OpFactsParser>,
     events: Sender<Event>,
     pub client: Arc<Client>,
-    /// What has been read but not processed: part of a message, or whole ones that wait for answers before
-    /// them.
+    /// What has been read but not processed: part of a message, and whole messages while reading is paused.
     buf: Vec<u8>,
     /// Memory for a long message while part of it is buffered.
     reservation: Option<MemoryReservation>,
@@ -50,7 +49,7 @@
     /// Bytes that are still read and discarded after the last answer: closing a connection with unread bytes
     /// resets it, and the client would lose answers that it has not read yet.
     discard_left: Option<usize>,
-    /// Nothing that was sent to the client can still be in flight.
+    /// Nothing that was sent to the client can still be in flight, so closing can't lose an answer.
     is_delivered: bool,
     /// Faulty commands in a row.
     consecutive_faults: usize,
@@ -70,7 +69,7 @@
 enum InputEnd {
     /// The client has disconnected or can't be served: its open commands need no answer.
     Disconnected,
-    /// The client was sent a fatal error, and its stream can't be followed any further; earlier commands are
+    /// The client was sent a fatal error, and the rest of its stream can't be parsed; earlier commands are
     /// still answered.
     ErrorSent,
     /// The router closes the connection between two commands.
@@ -131,8 +130,8 @@
         crate::eviction::ClientActivity { has_valid_op: self.has_valid_op, last_active_at }
     }
 
-    /// Reads and processes what has arrived, up to the reads of one turn; with `until_blocked` a short read
-    /// does not end the turn. `scratch` is overwritten.
+    /// Reads and processes what has arrived, with a limited number of reads. A short read ends the turn unless
+    /// `until_blocked` is set. `scratch` is overwritten.
     pub fn serve(&mut self, scratch: &mut [u8], until_blocked: bool) -> Outcome {
         self.update_write_deadline(false);
         // Checked before bytes are read: behind many of them, or while reading is paused, the end would be
@@ -340,16 +339,16 @@
         }
         if self.is_opened {
             // A command that has begun must be completed in time; between commands a client may stay idle.
-            let begun = !self.buf.is_empty() && !self.is_paused;
+            let has_begun = !self.buf.is_empty() && !self.is_paused;
             let old = self.read_deadline.filter(|_| !progressed);
             let deadline = || old.unwrap_or_else(|| self.shared.clock.now() + self.shared.limits.command_ms);
-            self.read_deadline = begun.then(deadline);
+            self.read_deadline = has_begun.then(deadline);
         }
         Ok(())
     }
 
-    /// Processes all complete messages in the buffer, while more answers may be pending; returns where the
-    /// rest begins.
+    /// Processes the complete messages in the buffer until too many answers are unwritten; returns the offset
+    /// of the first byte that was not processed.
     fn process_messages(&mut self, buf: &[u8]) -> Result<usize, InputEnd> {
         let (max_bytes, mut at) = (self.shared.limits.message_bytes, 0);
         while !self.is_opened {
@@ -426,7 +425,7 @@
         };
         if text.trim().is_empty() {
             let mut reply = Vec::new();
-            match self.shared.ready.load(Acquire) {
+            match self.shared.is_ready.load(Acquire) {
                 true => encode::empty_query_response(&mut reply),
                 false => {
                     encode::error_response(&mut reply, false, "57P03", "no list of hosts is known yet", "")
@@ -439,14 +438,15 @@
             Ok(facts) => facts,
             Err(why) => return self.reject("42601", &why),
         };
-        let Some(held) = self.shared.try_reserve(text.len() + self.shared.limits.read_bytes) else {
+        let Some(reservation) = self.shared.try_reserve(text.len() + self.shared.limits.read_bytes) else {
             return self.reject("53300", "too much is held already");
         };
         self.consecutive_faults = 0;
         self.has_valid_op = true;
         let seq = self.begin_command()?;
-        let (is_write, timeout_range) = (facts.writes, facts.client_timeout_range.clone());
-        let statement = Statement { text: text.as_bytes().to_vec(), is_write, timeout_range, held };
+        let (is_write, client_timeout_range) = (facts.is_write, facts.client_timeout_range.clone());
+        let statement =
+            Statement { text: text.as_bytes().to_vec(), is_write, client_timeout_range, reservation };
         let event = Event::OpArrived {
             client: self.client.clone(),
             seq,
@@ -457,10 +457,10 @@
         self.events.send(event).map_err(|_| Disconnected)?;
         // A client that ignores its retry times costs more than the ops that it is refused. Once closed, it
         // waits in the accept queue until there is processor time for it.
-        let early = arrived_at < self.client.retry_at.load(Relaxed) as f64
+        let is_early = arrived_at < self.client.retry_at.load(Relaxed) as f64
             && self.shared.is_cpu_limited.load(Relaxed);
-        self.early_ops += usize::from(early);
-        // What has arrived behind this op is still accepted: dropped, it would be an op without an answer.
+        self.early_ops += usize::from(is_early);
+        // What has arrived after this op is still accepted: if it were dropped, its ops would get no answer.
         self.is_draining |= self.early_ops >= self.shared.limits.early;
         Ok(())
     }
@@ -490,7 +490,7 @@
         self.reply(reply)
     }
 
-    /// Rejects a command with a fatal error, as the stream can't be followed any further.
+    /// Rejects a command with a fatal error, as the rest of the stream can't be parsed.
     fn reject_fatally(&mut self, code: &str, line: &str) -> Result<(), InputEnd> {
         let mut reply = Vec::new();
         encode::error_response(&mut reply, true, code, line, "");
--- a/crates/router/src/event.rs
+++ b/crates/router/src/event.rs
@@ -9,7 +9,7 @@
 
 /// An event that another thread sends to the decision thread.
 pub enum Event {
-    /// A client's op was read in full at `arrived_at` on the router's clock.
+    /// A client's op was read in full at `arrived_at` on the router's clock, as its command number `seq`.
     OpArrived {
         client: Arc<Client>,
         seq: u64,
@@ -38,7 +38,7 @@
     pub text: Vec<u8>,
     pub is_write: bool,
     /// The bytes of `text` that state the client timeout.
-    pub timeout_range: Range<usize>,
-    #[allow(dead_code, reason = "counts as held until dropped")]
-    pub held: MemoryReservation,
+    pub client_timeout_range: Range<usize>,
+    #[allow(dead_code, reason = "counts the bytes as in use until dropped")]
+    pub reservation: MemoryReservation,
 }
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -1,5 +1,5 @@
-//! Watches the host list: one thread per address makes one call after another, each as soon as the last has
-//! ended.
+//! Watches the host list: a thread sends one request after another to the list service, each of which waits
+//! there for a change. A new address gets a new thread.
 
 use crate::event::Event;
 use crate::shared::Shared;
@@ -11,12 +11,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// What a call to the list brings: its response, or none where it failed.
+/// The outcome of a list request: the response, or `None` if the request failed.
 pub type ListUpdate = Option<Value>;
 
-/// Parses a list response and calls `visit` for each host with its id, its address, the name of its group and
-/// the rest of its entry, in which the number of the group is left at 0. Zones are numbered by their position
-/// in `zones`.
+/// Parses a list response and calls `visit` for each host with its id, its address, the key of its group and
+/// the rest of its entry, in which the index of the group is left at 0. Zones are numbered by their position
+/// in `zones`; an unknown zone gets the number `usize::MAX`.
 pub fn parse_entries(
     response: &Value,
     zones: &[String],
@@ -28,7 +28,7 @@
         let invalid = |key: &str| format!("host list entry has an invalid '{key}'");
         let id = key("id")?.as_str().ok_or_else(|| invalid("id"))?;
         let addr = key("addr")?.as_str().and_then(|a| a.parse().ok()).ok_or_else(|| invalid("addr"))?;
-        let group = host.get("cell").map_or(Some(0), Value::as_u64).ok_or_else(|| invalid("cell"))?;
+        let group_key = host.get("cell").map_or(Some(0), Value::as_u64).ok_or_else(|| invalid("cell"))?;
         let state = match key("state")?.as_str() {
             Some("Ready") => HostState::Ready,
             Some("Terminating") => HostState::Draining,
@@ -42,7 +42,7 @@
         let started_at = started.unwrap_or(f64::NEG_INFINITY);
         let zone = host.get("zone").and_then(Value::as_str);
         let zone = zone.and_then(|name| zones.iter().position(|z| z == name)).unwrap_or(usize::MAX);
-        visit(id, addr, group, HostEntry { group: 0, state, capacity, started_at, primary, zone });
+        visit(id, addr, group_key, HostEntry { group: 0, state, capacity, started_at, primary, zone });
     }
     Ok(())
 }
@@ -63,17 +63,18 @@
     shared: Arc<Shared>,
     events: Sender<Event>,
     updates: Sender<ListUpdate>,
-    /// Receives requests of the policy to repeat a failed call at once.
+    /// Receives a message when the policy wants a failed request to be repeated at once.
     retry_now: Receiver<()>,
     current: Mutex<CurrentWatch>,
 }
 
-/// The watch that is in force.
+/// The watch at the present address.
 #[derive(Default)]
 struct CurrentWatch {
+    /// Number of the watch; responses of earlier ones are dropped.
     generation: u64,
     addr: Option<SocketAddr>,
-    /// The connection on which it waits.
+    /// The connection on which it waits for a response.
     stream: Option<TcpStream>,
 }
 
@@ -91,16 +92,16 @@
         self.current.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Watches this address from now on, and no other; false where no thread can be started, and the old
-    /// address stays.
-    pub fn follow(self: &Arc<ListWatcher>, addr: SocketAddr, known: Option<&Value>) -> bool {
+    /// Watches this address from now on, and no other; false if no thread can be started, in which case the
+    /// old address stays.
+    pub fn follow(self: &Arc<ListWatcher>, addr: SocketAddr, known_list: Option<&Value>) -> bool {
         let mut current = self.current();
         if current.addr == Some(addr) {
             return true;
         }
         let (watcher, known_version, generation) =
-            (self.clone(), known.and_then(version), current.generation + 1);
-        // The thread finds its generation in force once this lock is released.
+            (self.clone(), known_list.and_then(version), current.generation + 1);
+        // The thread waits for this lock, and then finds that its generation is the current one.
         if self.shared.spawn("list", move || watcher.watch(generation, addr, known_version)).is_none() {
             return false;
         }
@@ -111,7 +112,7 @@
         true
     }
 
-    /// Passes an update on; false where another address has taken over.
+    /// Passes an update to the decision thread; false if the list is now watched at another address.
     fn publish(&self, generation: u64, response: ListUpdate) -> bool {
         let current = self.current();
         if current.generation != generation {
@@ -122,7 +123,8 @@
         true
     }
 
-    /// Records the connection on which a watch is about to wait; false where another address has taken over.
+    /// Records the connection on which a watch is about to wait; false if the list is now watched at another
+    /// address.
     fn set_connection(&self, generation: u64, stream: &TcpStream) -> bool {
         let mut current = self.current();
         // A watch of the former address must not release the connection of the current one.
@@ -136,22 +138,22 @@
     fn watch(&self, generation: u64, addr: SocketAddr, mut known_version: Option<u64>) {
         let limits = &self.shared.limits;
         let mut connection = None;
-        let mut failing = false;
+        let mut is_failing = false;
         loop {
             let started_at = Instant::now();
             match self.request(generation, addr, known_version, &mut connection) {
                 Ok(response) => {
-                    if std::mem::take(&mut failing) {
+                    if std::mem::take(&mut is_failing) {
                         tracing::info!(version = version(&response), "list answers again");
                     }
                     let new_version = version(&response).or(known_version);
                     if new_version <= known_version {
-                        // A list that answers at once without a change must not use up a whole core.
+                        // A service that responds at once without a change must not use up a whole core.
                         std::thread::sleep(limits.list_pause.saturating_sub(started_at.elapsed()));
                     }
                     if new_version < known_version {
-                        // A late response, or a service that has restarted: the whole list is asked for,
-                        // which holds whatever its version.
+                        // A late response, or a service that has restarted: the whole list is requested,
+                        // which is valid whatever its version.
                         tracing::warn!(
                             version = new_version,
                             have = known_version,
@@ -170,11 +172,11 @@
                     if !self.publish(generation, None) {
                         return;
                     }
-                    if !std::mem::replace(&mut failing, true) {
+                    if !std::mem::replace(&mut is_failing, true) {
                         tracing::warn!(%why, at = %addr, "list failed");
                     }
                     while self.retry_now.try_recv().is_ok() {}
-                    // A call that failed by silence has waited long enough already.
+                    // A request that has timed out is repeated at once.
                     let _ =
                         self.retry_now.recv_timeout(limits.list_again.saturating_sub(started_at.elapsed()));
                 }
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Makes one call, on the connection of the last one if that is still open.
+    /// Sends one request, on the connection of the last one if that is still open.
     fn request(
         &self,
         generation: u64,
@@ -220,7 +222,7 @@
                     *connection = keep_alive.then_some(stream);
                     return Ok(response);
                 }
-                // A connection kept from the last call may have been closed meanwhile.
+                // The connection of the last request may have been closed meanwhile.
                 Err(why) if std::mem::take(&mut is_reused) && why == ENDED_EARLY => {
                     stream = connect(&self.shared, addr)?
                 }
@@ -230,6 +232,7 @@
     }
 }
 
+/// Failure of a request whose connection ended before any response arrived.
 const ENDED_EARLY: &str = "connection ended before a response";
 
 fn connect(shared: &Shared, addr: SocketAddr) -> Result<TcpStream, String> {
@@ -269,19 +272,22 @@
     }
 }
 
+/// Failure of a request that gets no complete response by its deadline.
 const SILENT: &str = "silent";
 
+/// Reads once, until the deadline at the latest, and appends to `buf`; returns whether the connection has
+/// ended.
 fn read_chunk(
     from: &mut TcpStream,
     deadline: Instant,
     buf: &mut Vec<u8>,
     chunk_bytes: usize,
 ) -> Result<bool, String> {
-    let left = deadline.saturating_duration_since(Instant::now());
-    if left.is_zero() {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining.is_zero() {
         return Err(SILENT.into());
     }
-    from.set_read_timeout(Some(left)).map_err(|e| e.to_string())?;
+    from.set_read_timeout(Some(remaining)).map_err(|e| e.to_string())?;
     let length = buf.len();
     buf.resize(length + chunk_bytes, 0);
     let read = from.read(&mut buf[length..]);
@@ -294,8 +300,8 @@
     }
 }
 
-/// Parses the response in the buffer: its body, and whether the connection stays open. None where bytes are
-/// missing.
+/// Parses the response in the buffer: its body, and whether the connection stays open. `None` if it is not
+/// complete yet.
 pub fn parse_response(buf: &[u8], ended: bool) -> Result<Option<(Vec<u8>, bool)>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut headers);
--- a/crates/router/src/op_facts.rs
+++ b/crates/router/src/op_facts.rs
@@ -23,32 +23,32 @@
     pub id: u64,
     /// Index of the op type in the settings.
     pub op_type: usize,
-    /// Index of the tenant in the settings; 0 where they name none.
+    /// Index of the tenant in the settings; 0 if the settings name no tenants.
     pub tenant: usize,
-    /// Number of the group, as the host list gives it.
-    pub cluster: u64,
-    /// Hash of the statement's key where the op type has sessions, else 0.
+    /// Key of the group in the host list.
+    pub group_key: u64,
+    /// Hash of the statement's key if the op type has sessions, else 0.
     pub session: u64,
     pub client_timeout_ms: f64,
-    /// Commit of the session's last write, as Unix ms.
-    pub after: Option<f64>,
-    /// Whether the op is a retry; none where the settings don't say that clients mark retries.
+    /// When the session's last write was committed, in Unix ms.
+    pub last_write_at: Option<f64>,
+    /// Whether the op is a retry; `None` unless the settings say that clients mark retries.
     pub is_retry: Option<bool>,
-    pub writes: bool,
+    pub is_write: bool,
     /// Position of the client timeout in the statement's text.
     pub client_timeout_range: Range<usize>,
 }
 
 impl OpFactsParser {
-    pub fn new(fields: &AdapterOptions, max_client_timeout_ms: f64) -> OpFactsParser {
+    pub fn new(adapter_options: &AdapterOptions, max_client_timeout_ms: f64) -> OpFactsParser {
         let index = |names: &[String]| names.iter().cloned().zip(0..).collect();
         OpFactsParser {
-            op_types: index(&fields.op_type_names),
-            tenants: index(&fields.tenant_names),
-            has_session: fields.has_session.clone(),
-            is_write: fields.is_write.clone(),
-            is_tokened: fields.is_tokened.clone(),
-            marks_retries: fields.clients_mark_retries,
+            op_types: index(&adapter_options.op_type_names),
+            tenants: index(&adapter_options.tenant_names),
+            has_session: adapter_options.has_session.clone(),
+            is_write: adapter_options.is_write.clone(),
+            is_tokened: adapter_options.is_tokened.clone(),
+            marks_retries: adapter_options.clients_mark_retries,
             max_client_timeout_ms,
         }
     }
@@ -56,11 +56,11 @@
     /// Returns the op's facts, or what is wrong with the statement.
     pub fn parse(&self, text: &str) -> Result<OpFacts, String> {
         let statement = statement::parse(text)?;
-        let (mut op_type, mut tenant, mut cluster, mut client_timeout) = (None, None, None, None);
-        let (mut id, mut after, mut is_retry, mut has_token) = (None, None, false, false);
+        let (mut op_type, mut tenant, mut group_key, mut client_timeout) = (None, None, None, None);
+        let (mut id, mut last_write_at, mut is_retry, mut has_token) = (None, None, false, false);
         let mut seen: Vec<&str> = Vec::with_capacity(8);
-        for (name, at) in statement::attributes(text, statement.comment) {
-            let value = &text[at.clone()];
+        for (name, range) in statement::attributes(text, statement.comment) {
+            let value = &text[range.clone()];
             let invalid = || format!("fact '{name}' has no usable value");
             if name.is_empty() || seen.contains(&name) {
                 return Err("a fact that is none, or is told twice".into());
@@ -71,17 +71,19 @@
                 "k" => has_token = !value.is_empty(),
                 "c" => op_type = Some(*self.op_types.get(value).ok_or_else(invalid)?),
                 "t" => tenant = Some(*self.tenants.get(value).ok_or_else(invalid)?),
-                "cluster" => cluster = Some(decimal(value).and_then(|v| v.parse().ok()).ok_or_else(invalid)?),
+                "cluster" => {
+                    group_key = Some(decimal(value).and_then(|v| v.parse().ok()).ok_or_else(invalid)?)
+                }
                 "d" => {
                     let ms = decimal(value).and_then(|v| v.parse().ok()).ok_or_else(invalid)?;
                     if !(0.0..=self.max_client_timeout_ms).contains(&ms) {
                         return Err(invalid());
                     }
-                    client_timeout = Some((ms, at));
+                    client_timeout = Some((ms, range));
                 }
                 "after" => {
                     let ms = decimal(value).and_then(|v| v.parse().ok()).ok_or_else(invalid)?;
-                    after = Some(ms).filter(|ms: &f64| ms.is_finite());
+                    last_write_at = Some(ms).filter(|ms: &f64| ms.is_finite());
                 }
                 "r" => is_retry = matches!(value, "1").then_some(true).ok_or_else(invalid)?,
                 _ => {}
@@ -102,12 +104,12 @@
             id: hash_name(id.ok_or("fact 'id' is missing")?),
             op_type,
             tenant: tenant.unwrap_or(0),
-            cluster: cluster.ok_or("fact 'cluster' is missing")?,
+            group_key: group_key.ok_or("fact 'cluster' is missing")?,
             session: if self.has_session[op_type] { hash_name(&text[statement.key]) } else { 0 },
             client_timeout_ms,
-            after,
+            last_write_at,
             is_retry: self.marks_retries.then_some(is_retry),
-            writes: statement.writes,
+            is_write: statement.writes,
             client_timeout_range,
         })
     }
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -50,7 +50,7 @@
     hosts_by_key: HashMap<u32, usize>,
     slots: Vec<HostSlot>,
     /// Group indices by the groups' keys in the list.
-    groups: HashMap<u64, usize>,
+    groups_by_key: HashMap<u64, usize>,
     connections: HashMap<u64, PooledConnection>,
     commands: CommandSender,
     next_conn_id: u64,
@@ -60,13 +60,13 @@
 
 impl Pool {
     pub fn new(shared: Arc<Shared>, commands: CommandSender) -> Pool {
-        let (hosts_by_id, hosts_by_key, slots, groups) = Default::default();
+        let (hosts_by_id, hosts_by_key, slots, groups_by_key) = Default::default();
         Pool {
             shared,
             hosts_by_id,
             hosts_by_key,
             slots,
-            groups,
+            groups_by_key,
             connections: HashMap::new(),
             commands,
             next_conn_id: 0,
@@ -91,7 +91,7 @@
         }
         let key = observer::host_key(id);
         let slot = HostSlot { id: Some(id.to_string()), key, addr, idle: Vec::new() };
-        let host = self.slots.iter().position(|p| p.id.is_none()).unwrap_or(self.slots.len());
+        let host = self.slots.iter().position(|slot| slot.id.is_none()).unwrap_or(self.slots.len());
         match self.slots.get_mut(host) {
             Some(free) => *free = slot,
             None => self.slots.push(slot),
@@ -134,14 +134,14 @@
     }
 
     /// The index of the group with this key in the list; assigned at the first call.
-    pub fn upsert_group(&mut self, cluster: u64) -> usize {
-        let next = self.groups.len();
-        *self.groups.entry(cluster).or_insert(next)
+    pub fn upsert_group(&mut self, group_key: u64) -> usize {
+        let next = self.groups_by_key.len();
+        *self.groups_by_key.entry(group_key).or_insert(next)
     }
 
     /// The index of a group that the list has named.
-    pub fn group(&self, cluster: u64) -> Option<usize> {
-        self.groups.get(&cluster).copied()
+    pub fn group(&self, group_key: u64) -> Option<usize> {
+        self.groups_by_key.get(&group_key).copied()
     }
 
     pub fn connection_count(&self) -> usize {
@@ -157,8 +157,8 @@
         (at < idle.len()).then(|| idle.remove(at))
     }
 
-    /// Starts a job on an idle connection, else on a new one, and returns the connection's id. `None` where
-    /// all connections that may be open are in use.
+    /// Starts a job on an idle connection, else on a new one, and returns the connection's id. `None` if all
+    /// connections that may be open are in use.
     pub fn start_job(&mut self, host: usize, task: Task, job: Job) -> Option<u64> {
         if let Some(conn_id) = self.take_idle(host) {
             let connection = self.connections.get_mut(&conn_id)?;
@@ -198,15 +198,15 @@
         Some((host, task))
     }
 
-    /// Removes a connection that ended by itself. Returns its host and task, if it had one: nothing of that
-    /// was written.
+    /// Removes a connection that ended by itself. Returns its host and its task, if it had one; nothing of
+    /// the task was written.
     pub fn remove(&mut self, conn_id: u64) -> Option<(usize, Task)> {
         let connection = self.connections.remove(&conn_id)?;
         self.slots[connection.host].idle.retain(|other| *other != conn_id);
         connection.task.map(|task| (connection.host, task))
     }
 
-    /// Cancels a connection's job; true where nothing of it was or will be written.
+    /// Cancels a connection's job; true if nothing of it was or will be written.
     pub fn cancel_job(&mut self, conn_id: u64, scope: CancelScope) -> bool {
         let Some(connection) = self.connections.get_mut(&conn_id) else { return false };
         let is_unwritten = connection.progress.cancel(scope) == CancelOutcome::NeverWritten;
@@ -239,7 +239,7 @@
         self.commands.send(Command::Close { conn_id });
     }
 
-    /// Closes the connection that has been idle longest; false where all are in use.
+    /// Closes the connection that has been idle longest; false if all are in use.
     fn close_longest_idle(&mut self) -> bool {
         let idle_since =
             |id: &u64| self.connections.get(id).map_or(f64::INFINITY, |connection| connection.idle_since);
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -26,7 +26,7 @@
 
 /// An op, from its arrival until it is answered and its last send has ended.
 struct Op {
-    /// The id that its client gave it, as a number.
+    /// Hash of the id that its client gave it.
     client_op_id: u64,
     client: Arc<Client>,
     seq: u64,
@@ -40,6 +40,7 @@
 struct Send {
     /// Its connection, while it is in flight.
     conn_id: Option<u64>,
+    /// When writing it must have begun; see [`Job`].
     begin_by: f64,
 }
 
@@ -60,8 +61,8 @@
     shared: Arc<Shared>,
     pool: Pool,
     ops: HashMap<OpId, Op>,
-    /// The clients' ids of the ops that are not answered yet.
-    open_op_ids: HashSet<u64>,
+    /// Hashes of the clients' ids of the ops that are not answered yet.
+    open_client_op_ids: HashSet<u64>,
     /// Sends that ended within the router, not yet reported to the policy.
     ended_sends: VecDeque<(OpId, usize, Ending)>,
     /// Hosts whose probe could not be sent, not yet reported to the policy.
@@ -69,13 +70,13 @@
     wake_at: f64,
     list_requests: Sender<()>,
     counts: Counts,
-    /// Hosts that contact was lost with, not yet reported to peers.
+    /// Hosts with which contact was lost, not yet reported to peers.
     unresponsive_hosts: Vec<usize>,
 }
 
 impl RouterOutbox {
-    /// The time of the next tick: as the policy asked, and later while no op is open, as nothing is waiting
-    /// then.
+    /// The time of the next tick: when the policy requested it, or later while no op is open, as nothing is
+    /// waiting then.
     fn next_tick_at(&self) -> f64 {
         self.wake_at + if self.ops.is_empty() { self.shared.limits.idle_beat_ms } else { 0.0 }
     }
@@ -93,7 +94,7 @@
 
     fn start_probe(&mut self, host: usize, started_at: f64) {
         let deadline = started_at + self.shared.limits.probe_ms;
-        // No `begin_by`: a probe that could not be written by its deadline shows that the host accepts no
+        // No `begin_by`: a probe that could not be written by its deadline is evidence that the host accepts no
         // connections.
         let job = Job { work: Work::Probe, deadline, begin_by: f64::INFINITY };
         if self.pool.start_job(host, Task::Probe { started_at }, job).is_none() {
@@ -101,17 +102,18 @@
         }
     }
 
-    /// Sends the final answer to the client; false where the op has been answered before.
+    /// Sends the final answer to the client; false if the op has been answered before.
     fn answer(&mut self, op: OpId, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let Some(o) = self.ops.get_mut(&op).filter(|o| !o.is_answered) else { return false };
         o.is_answered = true;
-        self.open_op_ids.remove(&o.client_op_id);
+        self.open_client_op_ids.remove(&o.client_op_id);
         let mut bytes = Vec::new();
         write(&mut bytes);
         bytes.extend_from_slice(&encode::READY_FOR_QUERY);
-        let held = self.shared.reserve(bytes.len());
-        o.client.answer(o.seq, bytes, held);
-        // Ops given up on a tick end here: each one kept would hold its client's connection open for ever.
+        let reservation = self.shared.reserve(bytes.len());
+        o.client.answer(o.seq, bytes, reservation);
+        // Ops that the policy gives up on a tick are removed here: each one left would keep its client's
+        // connection open for ever.
         self.remove_if_finished(op);
         true
     }
@@ -158,7 +160,7 @@
         let is_sent = self
             .answer(op, |reply| encode::error_response(reply, false, "53300", "busy, try again", &detail));
         self.counts.busy += u64::from(is_sent);
-        self.shared.refused.fetch_add(usize::from(is_sent), Relaxed);
+        self.shared.refused_ops.fetch_add(usize::from(is_sent), Relaxed);
     }
 
     fn error_reply(&mut self, op: OpId) {
@@ -205,11 +207,11 @@
     /// The names of zones, by index.
     zones: Vec<String>,
     observer: Observer,
-    /// Receives observations to share with peers; `None` where the router has no peers.
+    /// Receives observations to share with peers; `None` if the router has no peers.
     observations: Option<ObservationSender>,
     /// Each host's group according to the list.
     groups: HashMap<usize, GroupId>,
-    /// Whether the list last named more hosts than connections may be open.
+    /// Whether the list named more hosts than connections may be open when it was last applied.
     has_too_many_hosts: bool,
     /// The id of the op that arrived last.
     last_op: OpId,
@@ -233,7 +235,7 @@
             pool: Pool::new(shared.clone(), commands),
             shared,
             ops: HashMap::new(),
-            open_op_ids: HashSet::new(),
+            open_client_op_ids: HashSet::new(),
             ended_sends: VecDeque::new(),
             unsent_probes: VecDeque::new(),
             wake_at: now,
@@ -275,18 +277,18 @@
         let (policy, pool) = (&mut self.policy, &mut self.outbox.pool);
         policy.list_started(is_saved || list::is_complete(response), is_saved);
         let (zones, groups) = (&self.zones, &mut self.groups);
-        let read = list::parse_entries(response, zones, |id, addr, cluster, mut entry| {
-            entry.group = pool.upsert_group(cluster);
+        let parsed = list::parse_entries(response, zones, |id, addr, group_key, mut entry| {
+            entry.group = pool.upsert_group(group_key);
             let host = pool.upsert_host(id, addr);
-            groups.insert(host, GroupId { index: entry.group, key: cluster as u32 });
+            groups.insert(host, GroupId { index: entry.group, key: group_key as u32 });
             policy.host_listed(now, host, entry);
         });
-        if let Err(why) = read {
+        if let Err(why) = parsed {
             tracing::warn!(%why, "invalid host list response");
         }
         self.policy.list_ended(now, &mut self.outbox);
         self.warn_of_too_many_hosts();
-        self.outbox.shared.ready.store(true, Release);
+        self.outbox.shared.is_ready.store(true, Release);
         self.report_local_endings();
     }
 
@@ -391,13 +393,13 @@
             // The client disconnected while its op was queued.
             Event::OpArrived { client, .. } if client.is_disconnected() => self.outbox.counts.abandoned += 1,
             Event::OpArrived { client, seq, facts, statement, arrived_at } => {
-                if !self.outbox.open_op_ids.insert(facts.id) {
+                if !self.outbox.open_client_op_ids.insert(facts.id) {
                     // Another open op has this id: hosts could mistake one of the two for the other.
                     let mut bytes = Vec::new();
                     encode::error_response(&mut bytes, false, "55006", "an open op has this id", "");
                     bytes.extend_from_slice(&encode::READY_FOR_QUERY);
-                    let held = self.outbox.shared.reserve(bytes.len());
-                    client.answer(seq, bytes, held);
+                    let reservation = self.outbox.shared.reserve(bytes.len());
+                    client.answer(seq, bytes, reservation);
                     return;
                 }
                 self.last_op += 1;
@@ -408,7 +410,7 @@
                 let op = Op { client_op_id, client, seq, statement, deadline, is_answered: false, sends };
                 self.outbox.ops.insert(id, op);
                 self.outbox.counts.received += 1;
-                match self.outbox.pool.group(facts.cluster) {
+                match self.outbox.pool.group(facts.group_key) {
                     Some(group) => self.submit_op(now, id, group, deadline - now, &facts),
                     // The list has not named this group: nothing was sent, so a retry is safe.
                     None => self.outbox.busy_reply(id, 0.0),
@@ -424,7 +426,7 @@
                 for id in &abandoned {
                     let op = self.outbox.ops.get_mut(id).expect("found above");
                     op.is_answered = true;
-                    self.outbox.open_op_ids.remove(&op.client_op_id);
+                    self.outbox.open_client_op_ids.remove(&op.client_op_id);
                 }
                 self.outbox.counts.abandoned += abandoned.len() as u64;
                 self.policy.client_left(now, &mut self.outbox, &abandoned);
@@ -448,7 +450,7 @@
     /// Applies facts received from peers. Facts about hosts that this router doesn't know are ignored.
     fn apply_peer_facts(&mut self, now: f64, peer_facts: Vec<magpiewell_tier::PeerFact>) {
         for peer_fact in peer_facts {
-            let (key, peer_fact) = match peer_fact {
+            let (key, peer_report) = match peer_fact {
                 magpiewell_tier::PeerFact::Primary { host, observed_at: at, .. } => {
                     (host, PeerReport::Primary { at })
                 }
@@ -465,7 +467,7 @@
                 _ => continue,
             };
             if let Some(host) = self.outbox.pool.host_by_key(key) {
-                self.policy.peer_reported(now, &mut self.outbox, host, peer_fact);
+                self.policy.peer_reported(now, &mut self.outbox, host, peer_report);
             }
         }
     }
@@ -483,9 +485,9 @@
 
     /// Passes an op to the policy; `remaining_ms` is what is left of its client timeout.
     fn submit_op(&mut self, now: f64, id: OpId, group: usize, remaining_ms: f64, facts: &OpFacts) {
-        // Ops state the time of the commit; the policy takes its age.
-        let age = |after: f64| (now - after).max(0.001);
-        let last_write_age = self.clients_report_writes.then(|| facts.after.map_or(0.0, age));
+        // Ops state the time of the commit; the policy takes its age, which is 0 if there was no write.
+        let age_ms = |last_write_at: f64| (now - last_write_at).max(0.001);
+        let since_write_ms = self.clients_report_writes.then(|| facts.last_write_at.map_or(0.0, age_ms));
         let op = OpRequest {
             id,
             op_type: facts.op_type,
@@ -493,7 +495,7 @@
             tenant: facts.tenant,
             session: facts.session,
             client_timeout_ms: remaining_ms,
-            since_write_ms: last_write_age,
+            since_write_ms,
             is_retry: facts.is_retry,
             extra_latency_ms: 0.0,
             op_timeout_ms: self.timeouts_ms[facts.op_type],
@@ -526,9 +528,10 @@
 
     fn report_host_status(&mut self, now: f64, host: usize, status: &HostStatus) {
         // A commit's time is rounded up to a whole ms, so it may lie slightly ahead of the clock. The policy
-        // would reject such a position, so it gets the position's time as the present.
-        let ahead = status.position.filter(|position| *position < now + self.outbox.shared.limits.ahead_ms);
-        let now = ahead.map_or(now, |position| now.max(position));
+        // would reject such a position, so it gets the position's time as the current time.
+        let plausible_position =
+            status.position.filter(|position| *position < now + self.outbox.shared.limits.ahead_ms);
+        let now = plausible_position.map_or(now, |position| now.max(position));
         if status.role.is_some() || status.position.is_some() {
             self.policy.host_reported(now, host, status.role, status.position, true);
         }
--- a/crates/router/src/route/tests.rs
+++ b/crates/router/src/route/tests.rs
@@ -6,38 +6,38 @@
 /// reports it.
 #[test]
 fn an_op_whose_client_disconnected_while_it_was_queued_is_dropped() {
-    let start = String::from_utf8(crate::limits::MINIMAL_CONFIGURATION.to_vec()).unwrap();
-    let class = r#""classes":[{"name":"look","effect":"free","deadline_s":1,"goal_time_s":1,"value":1}]"#;
-    let start = start.replace(r#""classes":[]"#, class);
-    let start = start.replace(
+    let configuration = String::from_utf8(crate::limits::MINIMAL_CONFIGURATION.to_vec()).unwrap();
+    let op_type = r#""classes":[{"name":"look","effect":"free","deadline_s":1,"goal_time_s":1,"value":1}]"#;
+    let configuration = configuration.replace(r#""classes":[]"#, op_type);
+    let configuration = configuration.replace(
         r#""read_level":[],"staleness_bound_s":[]"#,
         r#""read_level":["any"],"staleness_bound_s":[0]"#,
     );
-    let start = magpiewell_terms::startup::parse(start.as_bytes()).unwrap().0;
-    let names = OpFactsParser::new(&start.adapter_options, 1_000.0);
+    let startup_options = magpiewell_terms::startup::parse(configuration.as_bytes()).unwrap().0;
+    let parser = OpFactsParser::new(&startup_options.adapter_options, 1_000.0);
     let shared = test_shared();
     let (_hosts, commands) = crate::host_loop::new(&shared, crossbeam_channel::unbounded().0).unwrap();
     let list_requests = crossbeam_channel::bounded(1).0;
     let mut router = Router::new(
         shared.clone(),
-        start.policy_options,
-        &start.adapter_options,
+        startup_options.policy_options,
+        &startup_options.adapter_options,
         1,
         list_requests,
         commands,
         None,
     );
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    for (no, is_gone) in [(7, true), (8, false)] {
+    for (client_id, is_gone) in [(7, true), (8, false)] {
         let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let client = Client::new(&shared, no, stream);
-        let text = format!("SELECT v FROM records WHERE k = 'k' /* id={no},c=look,d=900,cluster=3 */");
-        let facts = Box::new(names.parse(&text).unwrap());
+        let client = Client::new(&shared, client_id, stream);
+        let text = format!("SELECT v FROM records WHERE k = 'k' /* id={client_id},c=look,d=900,cluster=3 */");
+        let facts = Box::new(parser.parse(&text).unwrap());
         let statement = Statement {
             text: text.into_bytes(),
             is_write: false,
-            timeout_range: 0..0,
-            held: shared.reserve(0),
+            client_timeout_range: 0..0,
+            reservation: shared.reserve(0),
         };
         let seq = client.begin_command().unwrap();
         if is_gone {
--- a/crates/router/src/send.rs
+++ b/crates/router/src/send.rs
@@ -15,6 +15,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 
+/// User and database that the router states in its startup messages to hosts.
 pub const USER: &str = "svc";
 pub const DATABASE: &str = "main";
 
@@ -77,7 +78,7 @@
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Starts over, for a new job.
+    /// Resets the progress, for a new job.
     pub fn reset(&self) {
         *self.lock() = Progress::Unwritten;
     }
@@ -106,7 +107,7 @@
         matches!(*self.lock(), Progress::Cancelled)
     }
 
-    /// Writes without blocking and records the progress; `None` where the job has been cancelled. Both happen
+    /// Writes without blocking and records the progress; `None` if the job has been cancelled. Both happen
     /// under one lock: a cancellation between them would shut the connection down in a way that looks like a
     /// fault of the host.
     fn write(&self, stream: &Arc<TcpStream>, parts: &[&[u8]]) -> Option<std::io::Result<usize>> {
@@ -130,7 +131,7 @@
 pub enum Step {
     /// Waits until the socket is ready.
     Wait,
-    /// Reports the finished job; keeps the connection where the result says that it is reusable.
+    /// Reports the finished job; keeps the connection if the result says that it is reusable.
     Done(Box<JobResult>),
     /// Drops a connection that was closed while idle: nothing was written of a job assigned to it meanwhile.
     Closed,
@@ -149,7 +150,7 @@
     progress: Arc<JobProgress>,
     pub stream: Arc<TcpStream>,
     phase: Phase,
-    /// Nothing has been written on it yet.
+    /// Nothing has been written yet, not even the startup message.
     is_new: bool,
     /// Bytes that the socket has not accepted yet.
     unsent: Vec<u8>,
@@ -248,8 +249,8 @@
         match std::mem::replace(&mut self.phase, Phase::Idle) {
             // The host is about to close it.
             Phase::Idle => Step::Closed,
-            // Connecting took longer than the op's repeat window or the allowed age of the host's data: not
-            // the host's fault.
+            // Connecting took longer than hosts recognise repeats of the op, or than the host's data may be
+            // used for it: not the host's fault.
             Phase::Connecting(job) if self.shared.clock.now() >= job.begin_by => {
                 done(without_answer(Ending::Unsent))
             }
@@ -285,11 +286,11 @@
             Work::Probe => (&b"SHOW"[..], String::new()),
         };
         let (before, after) = match &job.work {
-            Work::Op(s) => (&s.text[..s.timeout_range.start], &s.text[s.timeout_range.end..]),
+            Work::Op(s) => (&s.text[..s.client_timeout_range.start], &s.text[s.client_timeout_range.end..]),
             Work::Probe => (probe::USAGE_QUERY, &b""[..]),
         };
-        let head = encode::query_header(before.len() + timeout.len() + after.len());
-        let parts = [&startup, &head[..], before, timeout.as_bytes(), after, &[0]];
+        let header = encode::query_header(before.len() + timeout.len() + after.len());
+        let parts = [&startup, &header[..], before, timeout.as_bytes(), after, &[0]];
         let mut written = match self.progress.write(&self.stream, &parts) {
             Some(Ok(written)) => written,
             Some(Err(_)) => return done(without_answer(Ending::Unreached)),
--- a/crates/router/src/send/tests.rs
+++ b/crates/router/src/send/tests.rs
@@ -91,8 +91,12 @@
 }
 
 fn write_job(shared: &Arc<Shared>, bytes: usize) -> Job {
-    let statement =
-        Statement { text: vec![b'x'; bytes], is_write: true, timeout_range: 0..0, held: shared.reserve(0) };
+    let statement = Statement {
+        text: vec![b'x'; bytes],
+        is_write: true,
+        client_timeout_range: 0..0,
+        reservation: shared.reserve(0),
+    };
     Job { work: Work::Op(Arc::new(statement)), ..job(shared, 60_000.0) }
 }
 
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -18,7 +18,7 @@
 pub struct LabOverrides {
     /// Processor time that each send of an op takes on top of its own, in ms; 0 or more.
     pub send_work_ms: f64,
-    /// How far the router's clock runs ahead of the machine's, in ms; negative where it runs behind.
+    /// How far the router's clock runs ahead of the machine's, in ms; negative if it runs behind.
     pub clock_off_ms: f64,
 }
 
@@ -28,17 +28,19 @@
     pub overrides: LabOverrides,
     pub clock: Clock,
     /// Whether a host list is known.
-    pub ready: AtomicBool,
+    pub is_ready: AtomicBool,
     /// How long the loops sleep between two iterations, in microseconds: see the budget's `AdmissionLimits`.
     pub batch_pause_us: AtomicU64,
     /// Ops refused as busy since the start.
-    pub refused: AtomicUsize,
+    pub refused_ops: AtomicUsize,
     /// Whether processor time is short, so that opens wait or ops are refused.
     pub is_cpu_limited: AtomicBool,
     /// By when every accepted command has to be answered, in whole Unix ms; `u64::MAX` until a stop is
     /// requested.
     stop_deadline: AtomicU64,
+    /// Threads started by `spawn` that are still running.
     pub threads: AtomicUsize,
+    /// Total of all memory reservations.
     pub reserved_bytes: AtomicUsize,
     /// Client connections whose descriptors are open.
     clients: AtomicUsize,
@@ -59,9 +61,9 @@
             limits,
             overrides,
             clock,
-            ready: AtomicBool::new(false),
+            is_ready: AtomicBool::new(false),
             batch_pause_us: AtomicU64::new(0),
-            refused: AtomicUsize::new(0),
+            refused_ops: AtomicUsize::new(0),
             is_cpu_limited: AtomicBool::new(false),
             stop_deadline: AtomicU64::new(u64::MAX),
             threads: AtomicUsize::new(0),
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Where processor time is getting short: sleeps, so that a loop handles more work in one iteration.
+    /// Sleeps while processor time is getting short, so that a loop handles more work in one iteration.
     pub fn pause_to_batch(&self) {
         let us = self.batch_pause_us.load(Relaxed);
         if us > 0 {
@@ -135,7 +137,7 @@
         let _ = self.waker.wake();
     }
 
-    /// Starts a thread with a small stack; none where the system refuses one.
+    /// Starts a thread with a small stack; `None` if the system refuses one.
     pub fn spawn(
         self: &Arc<Shared>,
         name: &str,
@@ -154,7 +156,7 @@
         spawned.ok()
     }
 
-    /// Counts bytes as in use until the reservation is dropped; none where that would exceed the limit.
+    /// Counts bytes as in use until the reservation is dropped; `None` if that would exceed the limit.
     pub fn try_reserve(self: &Arc<Shared>, bytes: usize) -> Option<MemoryReservation> {
         let reservation = self.reserve(bytes);
         (self.reserved_bytes.load(Relaxed) <= self.limits.held_bytes).then_some(reservation)
