--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -128,7 +128,7 @@
         self.state = next;
     }
 
-    /// The result of the job. `read_end` is how reading ended where the answer is incomplete. `has_excess`:
+    /// The result of the job. `read_end` is how reading ended if the answer is incomplete. `has_excess`:
     /// bytes follow the answer; the answer is good, but the connection can't be reused.
     pub fn into_result(self, read_end: Option<Ending>, has_excess: bool, is_probe: bool) -> JobResult {
         if self.is_malformed {
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -1,6 +1,6 @@
 //! A client's connection and its answers, which are written in the order of its commands. The thread that
-//! completes the next answer writes it as far as the socket takes it without blocking; the client loop writes
-//! the rest once the socket is writable again.
+//! completes the next answer writes as much of it as the socket accepts without blocking; the client loop
+//! writes the rest once the socket is writable again.
 
 use crate::shared::{MemoryReservation, Shared};
 use crate::vectored_io;
@@ -20,7 +20,7 @@
     /// Commands accepted so far.
     accepted: u64,
     /// Number of the command whose answer is queued next.
-    next: u64,
+    next_seq: u64,
     /// Answers written so far.
     written: u64,
     /// Answers that arrived before their turn, by command number.
@@ -76,7 +76,7 @@
         state.is_reader_waiting
     }
 
-    /// Accepts a command and returns its number; none where nothing can be written any more.
+    /// Accepts a command and returns its number; `None` if the connection is broken.
     pub fn begin_command(&self) -> Option<u64> {
         let mut state = self.outgoing();
         if state.is_broken {
@@ -95,15 +95,15 @@
             return;
         }
         let was_slow = !state.unwritten.is_empty();
-        if seq == state.next {
+        if seq == state.next_seq {
             state.unwritten.push_back((bytes, reservation));
-            state.next += 1;
+            state.next_seq += 1;
         } else {
             state.out_of_order.insert(seq, (bytes, reservation));
         }
-        while let Some(answer) = state.out_of_order.remove(&state.next) {
+        while let Some(answer) = state.out_of_order.remove(&state.next_seq) {
             state.unwritten.push_back(answer);
-            state.next += 1;
+            state.next_seq += 1;
         }
         if was_slow || state.unwritten.is_empty() {
             return;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Writes what the socket takes now; true where that was anything.
+    /// Writes as much as the socket accepts without blocking; returns whether that was anything.
     pub fn write_remaining(&self) -> bool {
         let mut state = self.outgoing();
         let before = (state.written, state.unwritten.front().map(|(bytes, _)| bytes.len()));
@@ -160,12 +160,12 @@
         self.record_written(&mut state, 0);
     }
 
-    /// Whether the connection is broken, so that no answers are owed any more.
+    /// Whether the connection is broken: nothing can be written, and open commands need no answer.
     pub fn is_disconnected(&self) -> bool {
         self.outgoing().is_broken
     }
 
-    /// Whether all answers are written, or no more can be.
+    /// Whether all answers have been written after `finish`, or the connection is broken.
     pub fn is_finished(&self) -> bool {
         let state = self.outgoing();
         state.is_broken || (state.is_finishing && state.written == state.accepted)
@@ -184,15 +184,15 @@
         }
     }
 
-    /// Drops the unwritten answers and closes the connection: after an answer cut short nothing else can
-    /// follow.
+    /// Drops the unwritten answers and closes the connection: one of them may be partly written, and nothing
+    /// else can follow it.
     pub fn abort(&self) {
         self.abort_locked(&mut self.outgoing());
     }
 
     fn abort_locked(&self, state: &mut State) {
         (state.is_broken, state.unwritten, state.out_of_order) = (true, VecDeque::new(), BTreeMap::new());
-        // The client loop notices that reading has ended.
+        // The client loop is woken by the shutdown and removes the client.
         drop(self.stream.shutdown(Shutdown::Both));
     }
 }
--- a/crates/router/src/eviction.rs
+++ b/crates/router/src/eviction.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// A client's activity: whether its last command was a valid op, and when it was last active, in whole Unix
-/// ms (the present while it has a command open).
+/// ms (the current time while it has an open command).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientActivity {
     pub has_valid_op: bool,
--- a/crates/router/src/eviction/tests.rs
+++ b/crates/router/src/eviction/tests.rs
@@ -2,12 +2,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-fn set() -> Config {
+fn config() -> Config {
     Config { cases: 256, rng_seed: RngSeed::Fixed(16), failure_persistence: None, ..Config::default() }
 }
 
 proptest! {
-    #![proptest_config(set())]
+    #![proptest_config(config())]
 
     /// Compares with a scan over all clients, the former implementation, which took most of a crowded
     /// router's time.
--- a/crates/router/src/observer.rs
+++ b/crates/router/src/observer.rs
@@ -44,7 +44,7 @@
 
 /// Turns the roles and positions in hosts' answers into observations worth sharing.
 pub struct Observer {
-    /// The tightest staleness bound of all op types, in ms; `None` where no type has one.
+    /// The tightest staleness bound of all op types, in ms; `None` if no type has one.
     tightest_bound_ms: Option<f64>,
     /// By the host's index.
     replicas: Vec<Replica>,
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -7,6 +7,7 @@
 pub struct Timers {
     /// Deadline and id.
     order: BTreeSet<(u64, u64)>,
+    /// Deadlines by id.
     due: HashMap<u64, u64>,
 }
 
