--- a/crates/router/tests/router/list_outage.rs
+++ b/crates/router/tests/router/list_outage.rs
@@ -10,7 +10,7 @@
 /// Clients that connect at once: more than there are places for.
 const CROWD: usize = 200;
 /// Ops that their host leaves unanswered: they occupy most of the connections to hosts.
-const HELD_OPS: usize = 8;
+const UNANSWERED_OPS: usize = 8;
 /// List requests that fail meanwhile.
 const FAILED_REQUESTS: usize = 4;
 const PROCESSES: usize = 10;
@@ -38,22 +38,23 @@
 fn clients_that_exhaust_descriptors_do_not_block_list_requests() {
     let spawn_answering_host =
         |value: &'static str| spawn_host(move |_, _| Action::Respond(read_response(value, "reader")));
-    let (old, new, holding, list) = (
+    let (old, new, silent_host, list) = (
         spawn_answering_host("old"),
         spawn_answering_host("new"),
         spawn_host(|_, _| Action::Ignore),
         spawn_list(),
     );
     let limits = format!(r#"{{"cores":1.0,"memory_mb":192,"sockets":{DESCRIPTORS}}}"#);
-    let other_group = host_entry("s-2", holding.addr, "Ready").replace("\"cell\":3", "\"cell\":9");
+    let other_group = host_entry("s-2", silent_host.addr, "Ready").replace("\"cell\":3", "\"cell\":9");
     let known = list_response(41, true, &[host_entry("s-1", old.addr, "Ready"), other_group]);
     let router = spawn_router_with_descriptor_limit(
         DESCRIPTORS,
         &config(list.addr, &known, &limits, &settings_without_timeouts()),
     );
     let mut busy = Client::open(router.addr);
-    (0..HELD_OPS).for_each(|_| busy.write(&query(&look_statement("held").replace("cluster=3", "cluster=9"))));
-    holding.queries.recv_timeout(TIMEOUT).unwrap();
+    (0..UNANSWERED_OPS)
+        .for_each(|_| busy.write(&query(&look_statement("held").replace("cluster=3", "cluster=9"))));
+    silent_host.queries.recv_timeout(TIMEOUT).unwrap();
     let _crowd: Vec<Client> = (0..CROWD).map(|_| idle_client(router.addr)).collect();
     for _ in 0..FAILED_REQUESTS {
         assert!(list.next_request().contains("?after=41&"));
@@ -68,7 +69,7 @@
     assert!(exhausted.is_empty(), "{exhausted:?}");
 }
 
-/// How the list service reacts to the first request of a restarted process; none where it answers properly.
+/// How the list service reacts to the first request of a restarted process; `None` if it responds properly.
 fn first_reply(index: usize, body: &str) -> Option<Reply> {
     let full = http_ok(body);
     match index % 5 {
--- a/crates/router/tests/router/races.rs
+++ b/crates/router/tests/router/races.rs
@@ -76,7 +76,7 @@
 /// A probe that timed out while its connection was being opened once counted as never sent, and so gave no
 /// evidence against its host.
 #[test]
-fn host_that_accepts_no_connection_is_ejected() {
+fn host_that_accepts_no_connection_is_set_aside() {
     let host = saturated_host();
     let known = list_response(1, true, &[host_entry("s-1", host.addr, "Ready")]);
     let settings = settings(5.0).replace("\"probes\":false", "\"probes\":true");
@@ -153,9 +153,9 @@
     ];
     for (ending, act) in endings {
         let (release_sender, release) = channel::<()>();
-        // Whichever host gets the first query holds it, and a retry would go to the other one.
+        // The host that gets the first query delays its answer, and a retry would go to the other one.
         let first = Arc::new(Mutex::new(Some(release)));
-        let spawn_holding_host = || {
+        let spawn_delaying_host = || {
             let first = first.clone();
             spawn_host(move |_, _| {
                 let hold = first.lock().unwrap().take();
@@ -164,7 +164,7 @@
                 act()
             })
         };
-        let hosts = [spawn_holding_host(), spawn_holding_host()];
+        let hosts = [spawn_delaying_host(), spawn_delaying_host()];
         let known = list_response(
             1,
             true,
@@ -201,7 +201,7 @@
     }
 }
 
-/// Starts a router whose list holds this one host, and in which nothing times out during a test.
+/// Starts a router whose list names only this host, and in which nothing times out during a test.
 fn spawn_router_without_timeouts(host: SocketAddr) -> Router {
     let known = list_response(1, true, &[host_entry("s-1", host, "Ready")]);
     spawn_router(&config("127.0.0.1:1".parse().unwrap(), &known, LIMITS, &settings_without_timeouts()))
--- a/crates/router/tests/router/service.rs
+++ b/crates/router/tests/router/service.rs
@@ -8,7 +8,7 @@
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 
-/// Starts a router whose list holds this one host.
+/// Starts a router whose list names only this host.
 fn spawn_router_with_host(host: SocketAddr, settings: &str) -> Router {
     let known = list_response(1, true, &[host_entry("s-1", host, "Ready")]);
     // No list service listens there, so the router keeps the list from its configuration.
@@ -216,9 +216,9 @@
     }
 }
 
-/// A withdrawn send once counted as a reset by the host, and the host was ejected.
+/// A withdrawn send once counted as a reset by the host, and the host was set aside.
 #[test]
-fn client_disconnect_withdraws_its_send_without_ejecting_the_host() {
+fn client_disconnect_withdraws_its_send_without_setting_the_host_aside() {
     let host =
         spawn_host(
             |nth, _| if nth == 0 { Action::Ignore } else { Action::Respond(read_response("v", "reader")) },
@@ -302,7 +302,7 @@
     }
 }
 
-/// Such clients once stayed connected for ever and took the places of clients with requests.
+/// Silent clients once stayed connected for ever and took the places of clients with requests.
 #[test]
 fn silent_clients_and_incomplete_commands_are_disconnected() {
     let host = spawn_host(|_, _| Action::Respond(read_response("v", "reader")));
--- a/crates/router/tests/stand_in/mod.rs
+++ b/crates/router/tests/stand_in/mod.rs
@@ -51,7 +51,7 @@
         String::from_utf8_lossy(&self.buf)
     }
 
-    /// The code of the startup message; none where the stream ended.
+    /// The code of the startup message; `None` if the stream has ended.
     pub fn read_startup(&mut self) -> Option<u32> {
         loop {
             if let Some((code, body)) = frame::startup(&self.buf, 10_000).unwrap() {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Kind and body of the next message; none where the stream ended.
+    /// Kind and body of the next message; `None` if the stream has ended.
     pub fn next_message(&mut self) -> Option<(u8, Vec<u8>)> {
         loop {
             if let Some((kind, body)) = frame::message(&self.buf, 1 << 20).unwrap() {
@@ -445,7 +445,7 @@
         self.0.stream.write_all(bytes).unwrap();
     }
 
-    /// The answer to the next command; none where the connection ended.
+    /// The answer to the next command; `None` if the connection has ended.
     pub fn read_answer(&mut self) -> Option<Answer> {
         let mut answer = Answer::default();
         loop {
