--- a/crates/router/src/event.rs
+++ b/crates/router/src/event.rs
@@ -27,8 +27,8 @@
     AdmissionChanged { share: f64, retry_after_ms: f64 },
     /// Facts received from peers.
     PeerFacts(Vec<magpiewell_tier::PeerFact>),
-    /// A response of the host list, or its failure, is waiting in the list's own channel.
-    ListResponse,
+    /// A `ListUpdate` is waiting in a channel of its own.
+    ListUpdated,
     /// All clients have been answered; the decision thread ends.
     Stop,
 }
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -16,10 +16,10 @@
 
 /// Parses a list response and calls `visit` for each host with its id, its address, the key of its group and
 /// the rest of its entry, in which the index of the group is left at 0. Zones are numbered by their position
-/// in `zones`; an unknown zone gets the number `usize::MAX`.
+/// in `zone_names`; an unknown zone gets the number `usize::MAX`.
 pub fn parse_entries(
     response: &Value,
-    zones: &[String],
+    zone_names: &[String],
     mut visit: impl FnMut(&str, SocketAddr, u64, HostEntry),
 ) -> Result<(), String> {
     let hosts = response.get("servers").and_then(Value::as_array).ok_or("host list lacks 'servers'")?;
@@ -41,7 +41,7 @@
             host.get("access").is_some_and(|v| v.as_str() == Some("writer") || v.as_f64() == Some(1.0));
         let started_at = started.unwrap_or(f64::NEG_INFINITY);
         let zone = host.get("zone").and_then(Value::as_str);
-        let zone = zone.and_then(|name| zones.iter().position(|z| z == name)).unwrap_or(usize::MAX);
+        let zone = zone.and_then(|name| zone_names.iter().position(|z| z == name)).unwrap_or(usize::MAX);
         visit(id, addr, group_key, HostEntry { group: 0, state, capacity, started_at, primary, zone });
     }
     Ok(())
@@ -63,8 +63,8 @@
     shared: Arc<Shared>,
     events: Sender<Event>,
     updates: Sender<ListUpdate>,
-    /// Receives a message when the policy wants a failed request to be repeated at once.
-    retry_now: Receiver<()>,
+    /// Receives a message when the policy wants a failed request to be retried at once.
+    retries: Receiver<()>,
     current: Mutex<CurrentWatch>,
 }
 
@@ -83,9 +83,9 @@
         shared: Arc<Shared>,
         events: Sender<Event>,
         updates: Sender<ListUpdate>,
-        retry_now: Receiver<()>,
+        retries: Receiver<()>,
     ) -> Arc<ListWatcher> {
-        Arc::new(ListWatcher { shared, events, updates, retry_now, current: Mutex::default() })
+        Arc::new(ListWatcher { shared, events, updates, retries, current: Mutex::default() })
     }
 
     fn current(&self) -> MutexGuard<'_, CurrentWatch> {
@@ -113,13 +113,13 @@
     }
 
     /// Passes an update to the decision thread; false if the list is now watched at another address.
-    fn publish(&self, generation: u64, response: ListUpdate) -> bool {
+    fn publish(&self, generation: u64, update: ListUpdate) -> bool {
         let current = self.current();
         if current.generation != generation {
             return false;
         }
-        drop(self.updates.send(response));
-        drop(self.events.send(Event::ListResponse));
+        drop(self.updates.send(update));
+        drop(self.events.send(Event::ListUpdated));
         true
     }
 
@@ -175,10 +175,9 @@
                     if !std::mem::replace(&mut is_failing, true) {
                         tracing::warn!(%why, at = %addr, "list failed");
                     }
-                    while self.retry_now.try_recv().is_ok() {}
+                    while self.retries.try_recv().is_ok() {}
                     // A request that has timed out is repeated at once.
-                    let _ =
-                        self.retry_now.recv_timeout(limits.list_again.saturating_sub(started_at.elapsed()));
+                    let _ = self.retries.recv_timeout(limits.list_again.saturating_sub(started_at.elapsed()));
                 }
             }
         }
--- a/crates/router/src/op_facts.rs
+++ b/crates/router/src/op_facts.rs
@@ -13,7 +13,7 @@
     has_session: Vec<bool>,
     is_write: Vec<bool>,
     is_tokened: Vec<bool>,
-    marks_retries: bool,
+    clients_mark_retries: bool,
     max_client_timeout_ms: f64,
 }
 
@@ -48,7 +48,7 @@
             has_session: adapter_options.has_session.clone(),
             is_write: adapter_options.is_write.clone(),
             is_tokened: adapter_options.is_tokened.clone(),
-            marks_retries: adapter_options.clients_mark_retries,
+            clients_mark_retries: adapter_options.clients_mark_retries,
             max_client_timeout_ms,
         }
     }
@@ -108,7 +108,7 @@
             session: if self.has_session[op_type] { hash_name(&text[statement.key]) } else { 0 },
             client_timeout_ms,
             last_write_at,
-            is_retry: self.marks_retries.then_some(is_retry),
+            is_retry: self.clients_mark_retries.then_some(is_retry),
             is_write: statement.writes,
             client_timeout_range,
         })
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -68,7 +68,7 @@
     /// Hosts whose probe could not be sent, not yet reported to the policy.
     unsent_probes: VecDeque<usize>,
     wake_at: f64,
-    list_requests: Sender<()>,
+    list_retries: Sender<()>,
     counts: Counts,
     /// Hosts with which contact was lost, not yet reported to peers.
     unresponsive_hosts: Vec<usize>,
@@ -180,7 +180,7 @@
     }
 
     fn watch_host_list(&mut self) {
-        let _ = self.list_requests.try_send(());
+        let _ = self.list_retries.try_send(());
     }
 
     fn wake_after(&mut self, in_ms: f64) {
@@ -203,9 +203,9 @@
     /// Whether ops state when their session last wrote; otherwise the policy keeps track of it itself.
     clients_report_writes: bool,
     /// Op timeouts by op type.
-    timeouts_ms: Vec<f64>,
-    /// The names of zones, by index.
-    zones: Vec<String>,
+    op_timeouts_ms: Vec<f64>,
+    /// The names of the zones, by index.
+    zone_names: Vec<String>,
     observer: Observer,
     /// Receives observations to share with peers; `None` if the router has no peers.
     observations: Option<ObservationSender>,
@@ -225,7 +225,7 @@
         policy_options: PolicyOptions,
         adapter_options: &AdapterOptions,
         seed: u64,
-        list_requests: Sender<()>,
+        list_retries: Sender<()>,
         commands: CommandSender,
         observations: Option<ObservationSender>,
     ) -> Router {
@@ -239,7 +239,7 @@
             ended_sends: VecDeque::new(),
             unsent_probes: VecDeque::new(),
             wake_at: now,
-            list_requests,
+            list_retries,
             counts: Counts::default(),
             unresponsive_hosts: Vec::new(),
         };
@@ -250,7 +250,7 @@
             .map(|t| t.staleness_bound_ms);
         let observer = Observer::new(bounds_ms.reduce(f64::min));
         let policy = Policy::new(policy_options, seed, now, &mut outbox);
-        let (timeouts_ms, zones) =
+        let (op_timeouts_ms, zone_names) =
             (adapter_options.op_timeouts_ms.clone(), adapter_options.zone_names.clone());
         let clients_report_writes = adapter_options.clients_report_writes;
         let (last_op, cleanup_at, groups) = (0, now, HashMap::new());
@@ -258,8 +258,8 @@
             policy,
             outbox,
             clients_report_writes,
-            timeouts_ms,
-            zones,
+            op_timeouts_ms,
+            zone_names,
             observer,
             observations,
             groups,
@@ -276,8 +276,8 @@
         let now = self.outbox.shared.clock.now();
         let (policy, pool) = (&mut self.policy, &mut self.outbox.pool);
         policy.list_started(is_saved || list::is_complete(response), is_saved);
-        let (zones, groups) = (&self.zones, &mut self.groups);
-        let parsed = list::parse_entries(response, zones, |id, addr, group_key, mut entry| {
+        let (zone_names, groups) = (&self.zone_names, &mut self.groups);
+        let parsed = list::parse_entries(response, zone_names, |id, addr, group_key, mut entry| {
             entry.group = pool.upsert_group(group_key);
             let host = pool.upsert_host(id, addr);
             groups.insert(host, GroupId { index: entry.group, key: group_key as u32 });
@@ -305,14 +305,14 @@
     }
 
     /// Runs until it receives `Event::Stop`.
-    pub fn run(mut self, events: &Receiver<Event>, list_responses: &Receiver<ListUpdate>) {
+    pub fn run(mut self, events: &Receiver<Event>, list_updates: &Receiver<ListUpdate>) {
         loop {
             let wait = self.outbox.shared.clock.until(self.outbox.next_tick_at());
             match events.recv_timeout(wait) {
                 Ok(Event::Stop) => return self.log_figures(true),
-                // Responses of the list never wait behind ops.
+                // List updates never wait behind ops.
                 Ok(event) => {
-                    self.receive_list_responses(list_responses);
+                    self.receive_list_updates(list_updates);
                     self.handle_event(event);
                     // Events queued meanwhile are handled in one batch, limited so that the tick isn't
                     // delayed for long.
@@ -329,7 +329,7 @@
             }
             let now = self.outbox.shared.clock.now();
             if now >= self.outbox.next_tick_at() {
-                self.receive_list_responses(list_responses);
+                self.receive_list_updates(list_updates);
                 if self.outbox.shared.is_stopping() {
                     self.policy.set_shutdown_deadline(self.outbox.shared.stop_deadline());
                 }
@@ -378,9 +378,9 @@
         );
     }
 
-    fn receive_list_responses(&mut self, list_responses: &Receiver<ListUpdate>) {
-        for response in list_responses.try_iter() {
-            match response {
+    fn receive_list_updates(&mut self, list_updates: &Receiver<ListUpdate>) {
+        for update in list_updates.try_iter() {
+            match update {
                 Some(response) => self.apply_host_list(&response, false),
                 None => self.policy.list_failed(self.outbox.shared.clock.now()),
             }
@@ -442,7 +442,7 @@
                 self.policy.set_admission(share, retry_after_ms)
             }
             Event::PeerFacts(peer_facts) => self.apply_peer_facts(now, peer_facts),
-            Event::ListResponse | Event::Stop => {}
+            Event::ListUpdated | Event::Stop => {}
         }
         self.report_local_endings();
     }
@@ -459,7 +459,7 @@
                 }
                 magpiewell_tier::PeerFact::Unresponsive { host } => (host, PeerReport::Unresponsive),
                 magpiewell_tier::PeerFact::Members { zone_shares, .. }
-                    if zone_shares.len() == self.zones.len() =>
+                    if zone_shares.len() == self.zone_names.len() =>
                 {
                     self.policy.zone_read_shares = zone_shares;
                     continue;
@@ -498,7 +498,7 @@
             since_write_ms,
             is_retry: facts.is_retry,
             extra_latency_ms: 0.0,
-            op_timeout_ms: self.timeouts_ms[facts.op_type],
+            op_timeout_ms: self.op_timeouts_ms[facts.op_type],
         };
         self.policy.op_arrived(now, &mut self.outbox, op);
     }
--- a/crates/router/src/route/tests.rs
+++ b/crates/router/src/route/tests.rs
@@ -17,13 +17,13 @@
     let parser = OpFactsParser::new(&startup_options.adapter_options, 1_000.0);
     let shared = test_shared();
     let (_hosts, commands) = crate::host_loop::new(&shared, crossbeam_channel::unbounded().0).unwrap();
-    let list_requests = crossbeam_channel::bounded(1).0;
+    let list_retries = crossbeam_channel::bounded(1).0;
     let mut router = Router::new(
         shared.clone(),
         startup_options.policy_options,
         &startup_options.adapter_options,
         1,
-        list_requests,
+        list_retries,
         commands,
         None,
     );
