--- a/crates/router/src/client_reader.rs
+++ b/crates/router/src/client_reader.rs
@@ -130,8 +130,8 @@
         crate::eviction::ClientActivity { has_valid_op: self.has_valid_op, last_active_at }
     }
 
-    /// Reads and processes what has arrived, with a limited number of reads. A short read ends the turn unless
-    /// `until_blocked` is set. `scratch` is overwritten.
+    /// Reads and processes what has arrived, with a limited number of reads. A short read ends the turn
+    /// unless `until_blocked` is set. `scratch` is overwritten.
     pub fn serve(&mut self, scratch: &mut [u8], until_blocked: bool) -> Outcome {
         self.update_write_deadline(false);
         // Checked before bytes are read: behind many of them, or while reading is paused, the end would be
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -95,7 +95,11 @@
         Err(why) => tracing::warn!(%why, "configuration refused, the old one stays"),
         Ok((startup_options, new)) => {
             let restart_keys = startup::keys_requiring_restart(current, &new);
-            tracing::info!(list = %startup_options.list_addr, restart = ?restart_keys, "configuration read anew");
+            tracing::info!(
+                list = %startup_options.list_addr,
+                restart = ?restart_keys,
+                "configuration read anew"
+            );
             if !watcher.follow(startup_options.list_addr, None) {
                 tracing::warn!("cannot start a thread for the list: the old address stays");
             }
--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -94,8 +94,8 @@
 
     fn start_probe(&mut self, host: usize, started_at: f64) {
         let deadline = started_at + self.shared.limits.probe_ms;
-        // No `begin_by`: a probe that could not be written by its deadline is evidence that the host accepts no
-        // connections.
+        // No `begin_by`: a probe that could not be written by its deadline is evidence that the host accepts
+        // no connections.
         let job = Job { work: Work::Probe, deadline, begin_by: f64::INFINITY };
         if self.pool.start_job(host, Task::Probe { started_at }, job).is_none() {
             self.unsent_probes.push_back(host);
