--- a/crates/lab/src/capacity/load.rs
+++ b/crates/lab/src/capacity/load.rs
@@ -11,8 +11,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The op timeout that each read states.
-const OP_TIMEOUT_MS: u64 = 1_000;
+/// The client timeout that each read states.
+const CLIENT_TIMEOUT_MS: u64 = 1_000;
 const MAX_READS_PER_SECOND_PER_CLIENT: f64 = 130.0;
 /// Time for a client to connect, including retries.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
@@ -150,7 +150,7 @@
             let group = u64::from(self.rng.next_u32() % self.groups.max(1));
             bounded = !bounded;
             let op_type = if bounded { "near" } else { "look" };
-            match self.client.read_with_op_type(op_type, group, OP_TIMEOUT_MS) {
+            match self.client.read_with_op_type(op_type, group, CLIENT_TIMEOUT_MS) {
                 Ok(Answer::Acked) => self.counters.acked.fetch_add(1, Relaxed),
                 Ok(Answer::Busy(_)) => self.counters.busy.fetch_add(1, Relaxed),
                 Ok(Answer::Errored) => self.counters.errored.fetch_add(1, Relaxed),
