--- a/crates/pg/src/statement.rs
+++ b/crates/pg/src/statement.rs
@@ -7,7 +7,7 @@
 /// content.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
-    pub writes: bool,
+    pub is_write: bool,
     pub key: Range<usize>,
     pub comment: Range<usize>,
 }
@@ -23,9 +23,9 @@
     const UNSUPPORTED: &str = "not a read or write of one record as they are taken here";
     let mut tokens = Tokens { text, position: 0 };
     let first = tokens.peek()?;
-    let writes = text[first].eq_ignore_ascii_case("INSERT");
+    let is_write = text[first].eq_ignore_ascii_case("INSERT");
     let mut key = None;
-    for expected in if writes { WRITE } else { READ }.split(' ') {
+    for expected in if is_write { WRITE } else { READ }.split(' ') {
         let found = tokens.next()?;
         let token = &text[found.clone()];
         let matches = match expected {
@@ -51,7 +51,7 @@
     if !rest.is_empty() {
         return Err("something stands behind the op's facts");
     }
-    Ok(Statement { writes, key: key.ok_or(UNSUPPORTED)?, comment: comment.start + 2..comment.end - 2 })
+    Ok(Statement { is_write, key: key.ok_or(UNSUPPORTED)?, comment: comment.start + 2..comment.end - 2 })
 }
 
 /// Splits a statement into tokens: names, punctuation characters, quoted strings and comments; an empty token
--- a/crates/pg/tests/framing.rs
+++ b/crates/pg/tests/framing.rs
@@ -105,10 +105,10 @@
         key in "[a-z/*;\\-'=,\"\u{e9}]{0,20}",
         left_ms in 0..100_000u32,
         spaces in " {0,2}",
-        writes in any::<bool>(),
+        is_write in any::<bool>(),
     ) {
         let quoted = key.replace('\'', "''");
-        let (before, tail) = if writes {
+        let (before, tail) = if is_write {
             ("insert into r(k,v)VALUES(", ", 'x''y') returning v")
         } else {
             ("SELECT v FROM r WHERE k =", "")
@@ -117,7 +117,7 @@
             format!("{before}{spaces}'{quoted}'{tail}{spaces}/* id=1,d={spaces}{left_ms},c=x */{spaces};");
         let statement = statement::parse(&text).unwrap();
         prop_assert_eq!(&text[statement.key], quoted);
-        prop_assert_eq!(statement.writes, writes);
+        prop_assert_eq!(statement.is_write, is_write);
         let attributes: Vec<_> = statement::attributes(&text, statement.comment).collect();
         prop_assert_eq!(attributes[1].0, "d");
         prop_assert_eq!(&text[attributes[1].1.clone()], left_ms.to_string());
--- a/crates/router/src/op_facts.rs
+++ b/crates/router/src/op_facts.rs
@@ -94,7 +94,7 @@
         if tenant.is_none() && !self.tenants.is_empty() {
             return Err("fact 't' is missing".into());
         }
-        if statement.writes != self.is_write[op_type] {
+        if statement.is_write != self.is_write[op_type] {
             return Err("the statement does not do what its op type says".into());
         }
         if self.is_tokened[op_type] && !has_token {
@@ -109,7 +109,7 @@
             client_timeout_ms,
             last_write_at,
             is_retry: self.clients_mark_retries.then_some(is_retry),
-            is_write: statement.writes,
+            is_write: statement.is_write,
             client_timeout_range,
         })
     }
