--- a/crates/router/src/route.rs
+++ b/crates/router/src/route.rs
@@ -152,10 +152,10 @@
         }
     }
 
-    fn busy_reply(&mut self, op: OpId, retry_ms: f64) {
-        let detail = if retry_ms > 0.0 { format!("{}", retry_ms.ceil()) } else { String::new() };
+    fn busy_reply(&mut self, op: OpId, retry_after_ms: f64) {
+        let detail = if retry_after_ms > 0.0 { format!("{}", retry_after_ms.ceil()) } else { String::new() };
         if let Some(o) = self.ops.get(&op) {
-            o.client.retry_at.store((self.shared.clock.now() + retry_ms) as u64, Relaxed);
+            o.client.retry_at.store((self.shared.clock.now() + retry_after_ms) as u64, Relaxed);
         }
         let is_sent = self
             .answer(op, |reply| encode::error_response(reply, false, "53300", "busy, try again", &detail));
