--- a/Makefile
+++ b/Makefile
@@ -15,32 +15,34 @@
 run: build
 	BALANCER_CONFIG=$(CONFIG) exec target/release/magpiewell-router
 
-# A router before a stand-in host, and a client that asks it.
+# Starts a router with a stand-in host, and a client that sends it a few reads.
 demo: build
 	target/release/magpiewell-lab demo
 
-# make prove-limit SEED=1: what waiting clients cost, what is served beyond the processor's limit, and the control
-# that is not told its limit and must fail. Some minutes, with two cores to itself.
+# make prove-limit SEED=1: measures what idle clients cost and the throughput beyond the processor limit. In
+# the control, which must fail, the router is configured with more processor time than it gets. Takes some
+# minutes and needs two cores of its own.
 SEED ?= 1
 prove-limit: build
 	target/release/magpiewell-lab limit --seed $(SEED)
 	! target/release/magpiewell-lab limit --seed $(SEED) --overload --untold
 
-# make prove-spread SEED=1: three hundred router processes and a hundred and twenty hosts with faults between them, told one
-# another and not (the control), against one router that sees everything. Four minutes, with the machine to itself; the
-# report is target/spread.html.
+# make prove-spread SEED=1: 300 router processes and 120 hosts under faults, with and without the exchange of
+# observations between routers (the control), compared with a single router that sees all reads. Takes four
+# minutes and needs the whole machine; the report is target/spread.html.
 prove-spread: build
 	target/release/magpiewell-lab spread --seed $(SEED) --html target/spread.html
 
-# make prove-scale SEED=1: 300, 1,200 and 4,800 hollow routers in virtual time against the aims, then
-# three hundred in twelve processes beside twelve real ones, a zone lost and back, lost datagrams, a cut, and controls
-# that must fail. Six to seven minutes; the report is target/scale.html.
+# make prove-scale SEED=1: checks 300, 1,200 and 4,800 hollow routers (gossip only) in virtual time against
+# the aims; then 300 in twelve processes beside twelve real routers, in real time, with the loss and return of
+# a zone, lost datagrams, a partition, and controls that must fail. Takes six to seven minutes; the report is
+# target/scale.html.
 prove-scale: build
 	target/release/magpiewell-fleet prove --seed $(SEED)
 	target/release/magpiewell-lab scale --seed $(SEED) --html target/scale.html
 
-# make lay-sites: lays what the bench reads beside a deployment next to each of the project's own under deploy/sites.
-# These files are the bench's, not the project's: they are not committed.
+# make lay-sites: copies the files that the bench reads for a deployment into each folder under deploy/sites.
+# They belong to the bench, not to the project, and are not committed.
 KIT ?= ../given/kit/more/mass/other
 lay-sites:
 	@test -d $(KIT) || { echo "lay-sites: no folder $(KIT), which the bench's real.json, wire.json and unlock.txt come from"; exit 1; }
--- a/crates/lab/scripts/tier-without-zones.jsonnet
+++ b/crates/lab/scripts/tier-without-zones.jsonnet
@@ -1,4 +1,5 @@
-// As deploy/tier.jsonnet, but without judging zones and without pulling: the control of the scale test.
+// Like deploy/tier.jsonnet, but without zone evidence and pulling of facts, and with a larger burst: a
+// control of the scale test.
 {
   on: true,
   period_ms: 1250,
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,5 @@
-//! The laboratory: measures router processes on loopback, between stand-ins. Bounded in load and time.
+//! The laboratory: measures router processes on loopback, between stand-ins for clients, hosts and the list
+//! service. Load and duration are bounded.
 
 pub mod capacity;
 pub mod client;
--- a/crates/lab/src/limit.rs
+++ b/crates/lab/src/limit.rs
@@ -287,7 +287,8 @@
     }
     println!(
         "seed {seed}: peak {peak:.0}/s with {peak_clients} clients; twice {:.2}, four times {:.2}, \
-         ignoring {:.2} of it; trigger: {before:.0}/s before, {during:.0} during, {after:.0} after; unanswered {}",
+         ignoring {:.2} of it; trigger: {before:.0}/s before, {during:.0} during, {after:.0} \
+         after; unanswered {}",
         acked_at_twice / peak,
         acked_at_four_times / peak,
         acked_without_retry_after / peak,
